--- a/tests/sim/world.cc
+++ b/tests/sim/world.cc
@@ -315,6 +315,7 @@
       node.controller->Handle(ClockOf(node), input);
   size_t worker_calls = 0;
   for (const ControllerOutput& output : outputs) {
+    if (config_.digest_effects) effect_digest_.Add(now_, node.index, output);
     if (const auto* call = std::get_if<EncodedStateCall>(&output)) {
       ++state_calls_;
       PerformState(node, *call);
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -20,6 +20,7 @@
 #include "fakes/cloud.h"
 #include "fakes/state_service.h"
 #include "fakes/worker.h"
+#include "sim/effect_digest.h"
 #include "sim/simulated_controller.h"
 
 namespace pitchfall::sim {
@@ -88,6 +89,7 @@
   bool state_ignores_conditions = false;
   bool workers_ignore_stops = false;
   bool log_debug = false;
+  bool digest_effects = false;
 };
 
 // Until when a kind of message is disturbed, and how large a share of them.
@@ -187,6 +189,8 @@
   int finished() const;
   int starts() const { return starts_; }
   const std::vector<std::string>& log() const { return log_; }
+  // Over all effects of the controllers so far, with `digest_effects`.
+  uint64_t effect_digest() const { return effect_digest_.value(); }
   // What broke, and the end of the story: for the messages of tests.
   std::string Told() const;
   // Of the deaf machines: how many were still rented 50 s later.
@@ -383,6 +387,7 @@
   std::vector<std::string> violations_;
   std::vector<std::string> log_;
   int starts_ = 0;
+  EffectDigest effect_digest_;
 };
 
 }  // namespace pitchfall::sim
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -1,49 +1,176 @@
-// Plays many random schedules: pitchfall_soak FIRST COUNT. For hunting by hand;
-// the tests play a fixed few.
+// Plays random schedules by hand; the tests play a fixed few.
+//
+//   pitchfall_soak FIRST COUNT            reports schedules with findings; with
+//                                         a COUNT of 1 it prints the story
+//   pitchfall_soak --digest FIRST COUNT   prints a hash of all that the
+//                                         controllers did, a line a schedule;
+//                                         tests/digests.txt holds those of the
+//                                         code before its refactoring
+#include <cinttypes>
 #include <cstdio>
 #include <cstdlib>
+#include <functional>
+#include <random>
+#include <string>
+#include <string_view>
+#include <vector>
 
+#include "sim/play.h"
 #include "sim/world.h"
 
+namespace pitchfall::sim {
+namespace {
+
+constexpr char kService[] = "run-600001";
+constexpr char kOtherService[] = "run-600002";
+constexpr uint64_t kDefaultCount = 100;
+constexpr uint64_t kKindsBesideRandom = 3;
+
+struct Schedule {
+  const char* kind = "";
+  WorldConfig config;
+  std::function<void(World&)> prepare;
+};
+
+WorldConfig RandomConfig(uint64_t seed) {
+  WorldConfig config;
+  config.seed = seed;
+  config.parts = seed % 4;
+  if (seed % 3 == 0) config.trouble_every = Seconds(3);
+  if (seed % 2 == 0) {
+    config.fleet_troubles = true;
+    config.longest_run_s = 20;
+    config.team_limit = 120;
+    config.capacity = 20;
+    config.nodes = 2 + seed % 5;
+  }
+  if (seed % 5 != 0) {
+    config.meeting_troubles = true;
+    config.odd_requests = true;
+    config.longest_run_s = seed % 7 == 0 ? 60 : 25;
+    config.team_limit = seed % 4 == 0 ? 24 : 120;
+    config.end = Seconds(500);
+  }
+  return config;
+}
+
+Schedule StandingJobs(uint64_t seed) {
+  WorldConfig config;
+  config.seed = seed;
+  config.meeting_troubles = seed % 2 == 0;
+  config.fleet_troubles = seed % 4 < 2;
+  return {"standing", config, [](World& world) {
+            world.AddServiceAt(3, kService, 4, 1).spread = true;
+            world.AddServiceAt(20, kOtherService, 3, 2);
+            world.At(40, [&world] { world.KillMachines(0.3); });
+            world.CancelAt(80, kOtherService);
+            world.CancelAt(240, kService);
+          }};
+}
+
+Schedule MixedVersions(uint64_t seed) {
+  WorldConfig config;
+  config.seed = seed;
+  config.parts = seed % 4;
+  config.meeting_troubles = seed % 2 == 0;
+  config.begins_with_production = true;
+  config.next_value_kb = 2;
+  config.next_txn_ops = 4;
+  return {"mixed", config, [](World& world) {
+            constexpr size_t kControllers = 3;
+            for (size_t i = 0; i < kControllers; ++i) {
+              double second = 15 + 6 * static_cast<double>(i);
+              world.At(second,
+                       [&world, i] { world.UpgradeNode(i, Seconds(1)); });
+            }
+            world.AddServiceAt(75, kService, 4, 1);
+            world.At(80, [&world] { world.LowerStateLimits(); });
+            world.CancelAt(240, kService);
+          }};
+}
+
+Schedule LargeFleet(uint64_t seed) {
+  WorldConfig config = CalmConfig(seed);
+  config.nodes = 2;
+  config.jobs = 20;
+  config.wide_jobs = 4;
+  config.team_limit = 100000;
+  config.capacity = 200;
+  config.machine_step_s = 0.2;
+  config.trouble_every = Seconds(20);
+  config.end = Seconds(160);
+  return {"large", config, {}};
+}
+
+// Each seed has a random schedule and one of the other kinds.
+std::vector<Schedule> SchedulesOf(uint64_t seed) {
+  std::vector<Schedule> schedules{{"random", RandomConfig(seed), {}}};
+  switch (seed % kKindsBesideRandom) {
+    case 0:
+      schedules.push_back(StandingJobs(seed));
+      break;
+    case 1:
+      schedules.push_back(MixedVersions(seed));
+      break;
+    default:
+      schedules.push_back(LargeFleet(seed));
+  }
+  return schedules;
+}
+
+void PrintDigests(uint64_t first, uint64_t count) {
+  for (uint64_t seed = first; seed < first + count; ++seed) {
+    for (Schedule& schedule : SchedulesOf(seed)) {
+      schedule.config.digest_effects = true;
+      World world(schedule.config);
+      if (schedule.prepare) schedule.prepare(world);
+      world.Run();
+      std::printf("%" PRIu64 " %s %016" PRIx64 " accepted=%d finished=%d\n",
+                  seed, schedule.kind, world.effect_digest(), world.accepted(),
+                  world.finished());
+    }
+  }
+}
+
+// Whether the schedule had no finding.
+bool PlayRandom(uint64_t seed, bool tell) {
+  WorldConfig config = RandomConfig(seed);
+  config.log_debug = tell;
+  World world(config);
+  world.Run();
+  if (tell) {
+    for (const std::string& line : world.log()) std::puts(line.c_str());
+  }
+  bool lost = world.finished() != world.accepted();
+  if (world.violations().empty() && !lost) return true;
+  std::printf("seed %" PRIu64 ": %s finished %d of %d\n", seed,
+              world.violations().empty() ? "-" : world.violations()[0].c_str(),
+              world.finished(), world.accepted());
+  return false;
+}
+
+}  // namespace
+}  // namespace pitchfall::sim
+
 int main(int argc, char** argv) {
-  uint64_t first = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1;
-  uint64_t count = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 100;
+  std::vector<std::string_view> arguments(argv + 1, argv + argc);
+  bool digest = !arguments.empty() && arguments[0] == "--digest";
+  if (digest) arguments.erase(arguments.begin());
+  auto number = [&arguments](size_t index, uint64_t otherwise) {
+    if (index >= arguments.size()) return otherwise;
+    return static_cast<uint64_t>(
+        std::strtoull(arguments[index].data(), nullptr, 10));
+  };
+  uint64_t first = number(0, 1);
+  uint64_t count = number(1, pitchfall::sim::kDefaultCount);
+  if (digest) {
+    pitchfall::sim::PrintDigests(first, count);
+    return EXIT_SUCCESS;
+  }
   int bad = 0;
   for (uint64_t seed = first; seed < first + count; ++seed) {
-    pitchfall::sim::WorldConfig config;
-    config.seed = seed;
-    config.parts = seed % 4;
-    if (seed % 3 == 0) config.trouble_every = pitchfall::Seconds(3);
-    if (seed % 2 == 0) {
-      config.fleet_troubles = true;
-      config.longest_run_s = 20;
-      config.team_limit = 120;
-      config.capacity = 20;
-      config.nodes = 2 + seed % 5;
-    }
-    if (seed % 5 != 0) {
-      config.meeting_troubles = true;
-      config.odd_requests = true;
-      config.longest_run_s = seed % 7 == 0 ? 60 : 25;
-      config.team_limit = seed % 4 == 0 ? 24 : 120;
-      config.end = pitchfall::Seconds(500);
-    }
-    config.log_debug = count == 1;
-    pitchfall::sim::World world(config);
-    world.Run();
-    if (count == 1) {
-      for (const std::string& line : world.log()) std::puts(line.c_str());
-    }
-    bool lost = world.finished() != world.accepted();
-    if (world.violations().empty() && !lost) continue;
-    ++bad;
-    std::printf(
-        "seed %llu: %s finished %d of %d\n",
-        static_cast<unsigned long long>(seed),
-        world.violations().empty() ? "-" : world.violations()[0].c_str(),
-        world.finished(), world.accepted());
+    if (!pitchfall::sim::PlayRandom(seed, count == 1)) ++bad;
   }
-  std::printf("%d of %llu schedules with findings\n", bad,
-              static_cast<unsigned long long>(count));
+  std::printf("%d of %" PRIu64 " schedules with findings\n", bad, count);
   return bad == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
