--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -281,7 +281,9 @@
     if (now - peer.heard >= kPeerFresh) continue;
     by_revision.push_back({peer.hello.revision, &peer});
   }
-  std::sort(by_revision.rbegin(), by_revision.rend());
+  // Peers of equal revision stay in the order of their labels.
+  std::ranges::stable_sort(by_revision, std::ranges::greater{},
+                           [](const auto& entry) { return entry.first; });
   for (const auto& [revision, peer] : by_revision) {
     auto cancelled = mirror_.CancelledSince(revision, kMostCancelled);
     if (!cancelled) break;
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -64,6 +64,14 @@
   }
 };
 
+// Orders jobs by identifier. Sets of jobs that are iterated use it: an order by
+// address would differ from run to run, and so would what is stored.
+struct OrderById {
+  bool operator()(const Job* left, const Job* right) const {
+    return left->spec().id < right->spec().id;
+  }
+};
+
 // The state of a job as its user sees it.
 JobAnswer Describe(const Job& job, bool counts);
 
--- a/src/core/part.cc
+++ b/src/core/part.cc
@@ -714,7 +714,7 @@
     if (done < job.spec().tasks || draft.others() >= draft_limit_) return;
     draft.done_jobs.insert(job.spec().id);
   };
-  std::set<const Job*> touched;
+  std::set<const Job*, OrderById> touched;
   for (const auto& [key, change] : draft.chunks) touched.insert(change.job);
   for (const Job* job : touched) consider(*job);
   // Two parts may have finished their last chunks at the same moment, neither
--- a/src/core/part.h
+++ b/src/core/part.h
@@ -66,11 +66,11 @@
       ChunkRecord record;
     };
     std::map<ChunkKey, ChunkChange> chunks;
-    std::set<const Job*> starting;
+    std::set<const Job*, OrderById> starting;
     // Those of them whose tasks' places depend on what other parts start: the
     // job's record is written anew, so that of two such starts that do not know
     // of each other the second fails.
-    std::set<const Job*> serialised;
+    std::set<const Job*, OrderById> serialised;
     // New owners of these jobs' chunks.
     std::map<std::string, std::vector<ChunkOwner>> moves;
     std::map<std::string, TeamRecord> teams;
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -248,6 +248,7 @@
 
   // Controllers.
   void StartNode(size_t index);
+  bool RunsProduction(const Node& node) const;
   void TickNode(size_t index, uint64_t life);
   void Deliver(size_t index, uint64_t life, ControllerInput input);
   void Execute(Node& node, const ControllerInput& input);
