--- a/src/cli/tuning_file.cc
+++ b/src/cli/tuning_file.cc
@@ -33,7 +33,7 @@
     {"hold-report", 0, 3, &Tuning::hold_report},
     {"idle-before-return", 0, 3600, &Tuning::idle_before_return},
     {"max-machines", 0, 100000, &Tuning::max_machines},
-    {"parts", 0, 64, &Tuning::parts},
+    {"parts", 0, 64, &Tuning::partition_count},
     {"chunk-tasks", 1, 128, &Tuning::chunk_tasks},
     {"claim-delay", 0, 60, &Tuning::claim_delay},
     {"handover-after", 1, 3600, &Tuning::handover_after},
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -23,11 +23,11 @@
   Outbox& out;
   Mirror& mirror;
   Follower& follower;
-  TokenBucket& requests;  // to the state service
-  TokenBucket& writes;    // puts and deletes there
-  TokenBucket& cloud;     // calls to the cloud
-  std::string life;       // names this process among all that ever ran
-  uint32_t parts;         // how many there are
+  TokenBucket& requests;     // to the state service
+  TokenBucket& writes;       // puts and deletes there
+  TokenBucket& cloud;        // calls to the cloud
+  std::string life;          // names this process among all that ever ran
+  uint32_t partition_count;  // how many there are
   RoomBook room;
   Vouchers vouchers;
   StateLimits state_limits;  // of every write
--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -15,7 +15,7 @@
 // A worker whose owner does not answer waits four seconds for it, tries the
 // next controller a second later, and is sent back within half a second.
 constexpr Duration kWorkerRound = Millis(5500);
-// So many workers of one part have not all had a bad moment.
+// So many workers of one partition have not all had a bad moment.
 constexpr uint32_t kManyStrays = 3;
 // Cancellations in one message.
 constexpr size_t kMostCancelled = 500;
@@ -38,23 +38,24 @@
       writes_(state_rates_.write_rps / 3, state_rates_.write_rps / 3),
       cloud_(deployment_.cloud_rps / 2, deployment_.cloud_rps),
       follower_(tuning_, out_, mirror_, requests_),
-      context_{deployment_,
-               tuning_,
-               out_,
-               mirror_,
-               follower_,
-               requests_,
-               writes_,
-               cloud_,
-               life,
-               tuning_.parts > 0
-                   ? tuning_.parts
-                   : static_cast<uint32_t>(deployment_.peers.size() + 1),
-               RoomBook(tuning_.parts > 0 ? tuning_.parts
-                                          : static_cast<uint32_t>(
-                                                deployment_.peers.size() + 1)),
-               Vouchers(deployment_, deployment_.label, life),
-               StateLimits(deployment_)},
+      context_{
+          deployment_,
+          tuning_,
+          out_,
+          mirror_,
+          follower_,
+          requests_,
+          writes_,
+          cloud_,
+          life,
+          tuning_.partition_count > 0
+              ? tuning_.partition_count
+              : static_cast<uint32_t>(deployment_.peers.size() + 1),
+          RoomBook(tuning_.partition_count > 0
+                       ? tuning_.partition_count
+                       : static_cast<uint32_t>(deployment_.peers.size() + 1)),
+          Vouchers(deployment_, deployment_.label, life),
+          StateLimits(deployment_)},
       ownership_(context_),
       users_(context_) {}
 
@@ -72,7 +73,7 @@
   ShareBudgets();
   ownership_.Step();
   FollowOwnership();
-  StepParts();
+  StepPartitions();
   if (fleet_) fleet_->Step();
   users_.Step();
   ExchangeHellos();
@@ -83,47 +84,52 @@
   return effects;
 }
 
-// All parts of this owner share its budget of writes. Whichever stepped first
-// would take each token as it comes and leave the others none, so the one whose
-// last write lies furthest back goes first.
-void Controller::StepParts() {
-  std::vector<Part*> in_turn;
-  for (auto& [number, part] : parts_) in_turn.push_back(part.get());
-  std::ranges::stable_sort(in_turn, {}, &Part::last_write);
-  for (Part* part : in_turn) part->Step();
+// All partitions of this owner share its budget of writes. Whichever stepped
+// first would take each token as it comes and leave the others none, so the one
+// whose last write lies furthest back goes first.
+void Controller::StepPartitions() {
+  std::vector<Partition*> in_turn;
+  for (auto& [number, partition] : partitions_)
+    in_turn.push_back(partition.get());
+  std::ranges::stable_sort(in_turn, {}, &Partition::last_write);
+  for (Partition* partition : in_turn) partition->Step();
 }
 
-// Machines and chunks of parts that nobody owns would be left alone for ever.
+// Machines and chunks of partitions that nobody owns would be left alone for
+// ever.
 void Controller::CompareWithStored() {
   if (std::exchange(compared_, true)) return;
-  uint32_t stored = mirror_.PartCount();
-  if (stored <= context_.parts) return;
+  uint32_t stored = mirror_.PartitionCount();
+  if (stored <= context_.partition_count) return;
   out_.Log(LogLevel::kError,
-           "event=parts_mismatch stored={} now={} remedy=\"set (parts {}) on "
+           "event=partition_count_mismatch stored={} now={} remedy=\"set "
+           "(parts {}) on "
            "all controllers until no job is open\"",
-           stored, context_.parts, stored);
+           stored, context_.partition_count, stored);
 }
 
 void Controller::FollowOwnership() {
   if (!follower_.loaded()) return;
   CompareWithStored();
-  for (uint32_t number = 0; number < context_.parts; ++number) {
+  for (uint32_t number = 0; number < context_.partition_count; ++number) {
     std::optional<uint64_t> token = ownership_.TokenOf(number);
-    auto part = parts_.find(number);
-    bool changed = part == parts_.end() ? token.has_value()
-                                        : part->second->token() != token;
+    auto partition = partitions_.find(number);
+    bool changed = partition == partitions_.end()
+                       ? token.has_value()
+                       : partition->second->token() != token;
     if (!changed) continue;
-    parts_.erase(number);
+    partitions_.erase(number);
     if (number == 0) fleet_.reset();
     if (!token) continue;
-    parts_.emplace(number, std::make_unique<Part>(context_, number, *token));
+    partitions_.emplace(number,
+                        std::make_unique<Partition>(context_, number, *token));
     if (number == 0) fleet_.emplace(context_, *token);
   }
 }
 
 // The platform's limits hold for all controllers together. Each takes what the
 // others have lately left, and no less than an even share of most of it; an
-// owner of many parts needs more than one of none.
+// owner of many partitions needs more than one of none.
 void Controller::ShareBudgets() {
   double nodes =
       std::max<double>(1, static_cast<double>(mirror_.nodes().size()));
@@ -180,25 +186,26 @@
 }
 
 void Controller::On(const CheckIn& command) {
-  uint32_t number = PartOf(command.report.machine, context_.parts);
-  auto part = parts_.find(number);
-  if (part != parts_.end()) {
+  uint32_t number =
+      PartitionOf(command.report.machine, context_.partition_count);
+  auto partition = partitions_.find(number);
+  if (partition != partitions_.end()) {
     strays_.erase(command.report.machine);
-    part->second->CheckIn(command.request, command.report);
+    partition->second->CheckIn(command.request, command.report);
     return;
   }
   SteadyTime now = out_.now().steady;
   Stray& stray =
       strays_.try_emplace(command.report.machine, Stray{number, now, now})
           .first->second;
-  stray.part = number;
+  stray.partition = number;
   stray.last = now;
-  const auto* stored = mirror_.FindPart(number);
+  const auto* stored = mirror_.FindPartition(number);
   stray.lost_owner = stored != nullptr && command.report.token == stored->stamp;
   std::string owner = follower_.Fresh() ? ownership_.OwnerOf(number) : "";
   if (stray.lost_owner && StraysOf(number) >= kManyStrays) {
     // To send so many back would cost each another wait, and its lease. Going
-    // round they find whoever the part is handed to.
+    // round they find whoever the partition is handed to.
     out_.Answer(command.request, 421, Redirect{});
   } else if (owner.empty()) {
     out_.Answer(command.request, 503, Problem{"no owner known"});
@@ -213,8 +220,8 @@
   if (age > kPeerFresh + 2 * deployment_.time_bound) return;
   SteadyTime now = out_.now().steady;
   peers_[hello.label] = {hello, now};
-  for (const auto& [part, free] : hello.free) {
-    context_.room.Hear(part, free, now);
+  for (const auto& [partition, free] : hello.free) {
+    context_.room.Hear(partition, free, now);
   }
   for (const std::string& id : hello.cancelled) {
     const Job* job = mirror_.FindJob(id);
@@ -223,8 +230,9 @@
   }
   context_.vouchers.Hear(hello, now, follower_.known_at());
   for (const auto& [number, token] : hello.tokens) {
-    auto part = parts_.find(number);
-    if (part != parts_.end()) part->second->HearOwner(hello.label, token);
+    auto partition = partitions_.find(number);
+    if (partition != partitions_.end())
+      partition->second->HearOwner(hello.label, token);
   }
 }
 
@@ -250,16 +258,17 @@
   };
   hello.requests = follow(request_use_, requests_taken_, requests_.taken());
   hello.writes = follow(write_use_, writes_taken_, writes_.taken());
-  hello.strays.assign(context_.parts, 0);
+  hello.strays.assign(context_.partition_count, 0);
   Duration recent = std::max(3 * deployment_.report, 2 * kWorkerRound);
   std::erase_if(strays_, [&](const auto& entry) {
     return now - entry.second.last > recent;
   });
-  for (uint32_t part = 0; part < context_.parts; ++part) {
-    hello.strays[part] = StraysOf(part);
+  for (uint32_t partition = 0; partition < context_.partition_count;
+       ++partition) {
+    hello.strays[partition] = StraysOf(partition);
   }
-  for (const auto& [number, part] : parts_) {
-    hello.free[number] = part->Free();
+  for (const auto& [number, partition] : partitions_) {
+    hello.free[number] = partition->Free();
     context_.room.Hear(number, hello.free[number], now);
   }
   Vouch(hello);
@@ -271,8 +280,8 @@
   hello.uptime = now - started_;
   hello.revision = mirror_.revision();
   hello.mark = now;
-  for (const auto& [number, part] : parts_) {
-    hello.tokens[number] = part->token();
+  for (const auto& [number, partition] : partitions_) {
+    hello.tokens[number] = partition->token();
   }
   // One list serves all: what is new to the one who knows least. Who cannot be
   // served with the others gets no echo.
@@ -294,11 +303,11 @@
 }
 
 // A worker that comes once may only be looking for its owner.
-uint32_t Controller::StraysOf(uint32_t part) const {
+uint32_t Controller::StraysOf(uint32_t partition) const {
   return static_cast<uint32_t>(
       std::count_if(strays_.begin(), strays_.end(), [&](const auto& entry) {
         const Stray& stray = entry.second;
-        return stray.part == part &&
+        return stray.partition == partition &&
                (stray.lost_owner ||
                 stray.last - stray.first > deployment_.report);
       }));
@@ -308,10 +317,11 @@
 // owner has heard none of them for a while and a peer has, the peer takes over.
 void Controller::ConsiderStrays() {
   SteadyTime now = out_.now().steady;
-  // Reports of a whole part that fail to come for one and a half intervals.
+  // Reports of a whole partition that fail to come for one and a half
+  // intervals.
   Duration patience = deployment_.report * 3 / 2 + Millis(500);
-  for (const auto& [number, part] : parts_) {
-    if (now - part->last_heard() < patience) continue;
+  for (const auto& [number, partition] : partitions_) {
+    if (now - partition->last_heard() < patience) continue;
     for (const auto& [label, peer] : peers_) {
       if (now - peer.heard > kPeerFresh || peer.hello.strays.size() <= number ||
           peer.hello.strays[number] == 0) {
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -13,7 +13,7 @@
 #include "core/context.h"
 #include "core/fleet.h"
 #include "core/ownership.h"
-#include "core/part.h"
+#include "core/partition.h"
 #include "core/users.h"
 
 namespace pitchfall {
@@ -51,7 +51,7 @@
   void On(const Tick&) {}
 
   void FollowOwnership();
-  void StepParts();
+  void StepPartitions();
   void CompareWithStored();
   void ShareBudgets();
   void ExchangeHellos();
@@ -59,9 +59,9 @@
   // cancelled, without the state service.
   void Vouch(PeerHello& hello) const;
   void ConsiderStrays();
-  // Workers that came here lately because they could not reach the part's
+  // Workers that came here lately because they could not reach the partition's
   // owner.
-  uint32_t StraysOf(uint32_t part) const;
+  uint32_t StraysOf(uint32_t partition) const;
   bool Healthy() const;
   static void SendElsewhere(std::vector<Effect>& effects);
 
@@ -77,12 +77,12 @@
   Context context_;
   Ownership ownership_;
   Users users_;
-  std::map<uint32_t, std::unique_ptr<Part>> parts_;
+  std::map<uint32_t, std::unique_ptr<Partition>> partitions_;
   std::optional<Fleet> fleet_;
   std::map<std::string, Peer> peers_;
   // Workers that came here and were sent on.
   struct Stray {
-    uint32_t part = 0;
+    uint32_t partition = 0;
     SteadyTime first{};
     SteadyTime last{};
     // It has seen the present owner's token, so it has been with it, and would
--- a/src/core/demand.cc
+++ b/src/core/demand.cc
@@ -13,19 +13,20 @@
   uint32_t waiting = 0;
 };
 
-// Tasks of the job that count for `part`.
-JobShare ShareOf(const Job& job, uint32_t parts, std::optional<uint32_t> part) {
-  if (!part) return {job.assigned, job.waiting()};
+// Tasks of the job that count for `partition`.
+JobShare ShareOf(const Job& job, uint32_t partition_count,
+                 std::optional<uint32_t> partition) {
+  if (!partition) return {job.assigned, job.waiting()};
   JobShare share;
   for (uint32_t n = 0; n < job.record.chunk_count(); ++n) {
     const Job::Chunk* chunk = job.FindChunk(n);
     uint32_t busy = 0;
     if (chunk != nullptr) {
       auto running = static_cast<uint32_t>(chunk->record.assigned.size());
-      if (chunk->part == *part) share.running += running;
+      if (chunk->partition == *partition) share.running += running;
       busy = running + CountTasks(chunk->record.done);
     }
-    if (job.owner_of(n, parts).part != *part) continue;
+    if (job.owner_of(n, partition_count).partition != *partition) continue;
     uint32_t tasks = job.chunk_end(n) - job.chunk_begin(n);
     share.waiting += tasks - std::min(tasks, busy);
   }
@@ -70,7 +71,8 @@
 
 Demand MeasureDemand(const Mirror& mirror, const Deployment& deployment,
                      const std::set<std::string>& failing, WallTime now,
-                     uint32_t parts, std::optional<uint32_t> part) {
+                     uint32_t partition_count,
+                     std::optional<uint32_t> partition) {
   Demand demand;
   std::map<std::string, Resources> used;
   for (const auto& [id, job] : mirror.open_jobs()) {
@@ -84,7 +86,7 @@
   };
   for (const Job* job : OrderJobs(mirror, now, deployment)) {
     const JobSpec& spec = job->spec();
-    JobShare share = ShareOf(*job, parts, part);
+    JobShare share = ShareOf(*job, partition_count, partition);
     add(spec, share.running, 1);
     if (job->waiting() == 0) continue;
     int64_t admissible = job->waiting();
@@ -106,10 +108,11 @@
       limit(team->second.gpus_limit, use.gpus, spec.need.gpus);
       use += spec.need * admissible;
     }
-    // A part's share of what is admissible, rounded up.
-    int64_t mine = part ? (admissible * share.waiting + job->waiting() - 1) /
-                              job->waiting()
-                        : admissible;
+    // A partition's share of what is admissible, rounded up.
+    int64_t mine =
+        partition
+            ? (admissible * share.waiting + job->waiting() - 1) / job->waiting()
+            : admissible;
     if (mine == 0) continue;
     add(spec, mine, Pressure(*job, now, deployment));
     demand.waiting += static_cast<uint32_t>(mine);
@@ -118,10 +121,11 @@
   return demand;
 }
 
-std::set<std::string> FailingJobs(const Mirror& mirror, uint32_t parts) {
+std::set<std::string> FailingJobs(const Mirror& mirror,
+                                  uint32_t partition_count) {
   std::set<std::string> failing;
-  for (uint32_t part = 0; part < parts; ++part) {
-    if (const auto* load = mirror.FindLoad(part)) {
+  for (uint32_t partition = 0; partition < partition_count; ++partition) {
+    if (const auto* load = mirror.FindLoad(partition)) {
       failing.insert(load->value.failing.begin(), load->value.failing.end());
     }
   }
--- a/src/core/demand.h
+++ b/src/core/demand.h
@@ -29,14 +29,16 @@
 // Waiting tasks are admissible as far as their team's limit allows beside the
 // team's other tasks, in the order in which jobs get room. Jobs in `failing`
 // ask for nothing beyond what is running. Each job's waiting tasks ask for room
-// in proportion to their pressure. With `part`, only the share of chunks
-// that this part has claimed or will be offered first.
+// in proportion to their pressure. With `partition`, only the share of chunks
+// that this partition has claimed or will be offered first.
 Demand MeasureDemand(const Mirror& mirror, const Deployment& deployment,
                      const std::set<std::string>& failing, WallTime now,
-                     uint32_t parts, std::optional<uint32_t> part);
+                     uint32_t partition_count,
+                     std::optional<uint32_t> partition);
 
-// The jobs that the parts' newest reports call failing.
-std::set<std::string> FailingJobs(const Mirror& mirror, uint32_t parts);
+// The jobs that the partitions' newest reports call failing.
+std::set<std::string> FailingJobs(const Mirror& mirror,
+                                  uint32_t partition_count);
 
 }  // namespace pitchfall
 
--- a/src/core/fleet.cc
+++ b/src/core/fleet.cc
@@ -53,7 +53,7 @@
   SteadyTime now = context_.now();
   context_.writes.Take(now, static_cast<double>(txn.writes.size()), -1e9);
   context_.requests.Take(now, 1, -1e9);
-  txn.conditions.push_back({keys::Part(0), token_});
+  txn.conditions.push_back({keys::Partition(0), token_});
   storing_ = true;
   context_.out.CallState(
       std::move(txn), context_.tuning.state_timeout,
@@ -194,8 +194,9 @@
                    machines(room.memory, type.capacity.memory)});
 }
 
-// One point a period: the sum of what the parts report. A part whose report is
-// late counts with its last one; otherwise the sum would seem to drop.
+// One point a period: the sum of what the partitions report. A partition whose
+// report is late counts with its last one; otherwise the sum would seem to
+// drop.
 void Fleet::FollowPeriod() {
   const auto& stored = context_.mirror.sizing();
   if (history_.empty() && stored && last_period_ == 0) {
@@ -210,8 +211,9 @@
   SizingRecord::Point point;
   Duration waited{0};
   uint32_t started = 0;
-  for (uint32_t part = 0; part < context_.parts; ++part) {
-    const auto* load = context_.mirror.FindLoad(part);
+  for (uint32_t partition = 0; partition < context_.partition_count;
+       ++partition) {
+    const auto* load = context_.mirror.FindLoad(partition);
     if (load == nullptr || load->value.period < period) complete = false;
     if (load == nullptr) continue;
     point.requested += load->value.requested;
@@ -341,10 +343,10 @@
       }
     }
   }
-  Demand demand =
-      MeasureDemand(context_.mirror, context_.deployment,
-                    FailingJobs(context_.mirror, context_.parts),
-                    context_.out.now().wall, context_.parts, std::nullopt);
+  Demand demand = MeasureDemand(
+      context_.mirror, context_.deployment,
+      FailingJobs(context_.mirror, context_.partition_count),
+      context_.out.now().wall, context_.partition_count, std::nullopt);
   count_ = CountMachines(use);
   int count = count_ + Pending(false);
   double room = 0;
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -1,5 +1,5 @@
 // The leader's work: how many machines there should be, renting them, choosing
-// which to return. The owner of part 0 leads.
+// which to return. The owner of partition 0 leads.
 #ifndef PITCHFALL_CORE_FLEET_H_
 #define PITCHFALL_CORE_FLEET_H_
 
--- a/src/core/hash.h
+++ b/src/core/hash.h
@@ -1,6 +1,6 @@
 // Rendezvous hashing: every controller works out the same placement of machines
-// in parts and of orphaned parts on controllers, and a change of one moves no
-// other.
+// in partitions and of orphaned partitions on controllers, and a change of one
+// moves no other.
 #ifndef PITCHFALL_CORE_HASH_H_
 #define PITCHFALL_CORE_HASH_H_
 
@@ -26,13 +26,14 @@
   return hash;
 }
 
-inline uint32_t PartOf(std::string_view machine, uint32_t parts) {
+inline uint32_t PartitionOf(std::string_view machine,
+                            uint32_t partition_count) {
   uint32_t best = 0;
   uint64_t best_hash = 0;
-  for (uint32_t part = 0; part < parts; ++part) {
-    uint64_t hash = StableHash(machine, part + 1);
-    if (part == 0 || hash > best_hash) {
-      best = part;
+  for (uint32_t partition = 0; partition < partition_count; ++partition) {
+    uint64_t hash = StableHash(machine, partition + 1);
+    if (partition == 0 || hash > best_hash) {
+      best = partition;
       best_hash = hash;
     }
   }
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -18,7 +18,7 @@
     ChunkRecord record;
     // Of the segment that holds this version, and where that lies.
     uint64_t stamp = 0;
-    uint32_t part = 0;
+    uint32_t partition = 0;
     uint32_t slot = 0;
   };
 
@@ -44,17 +44,19 @@
   uint32_t chunk_end(uint32_t chunk) const {
     return std::min(spec().tasks, (chunk + 1) * record.chunk_size);
   }
-  ChunkOwner owner_of(uint32_t chunk, uint32_t parts) const {
+  ChunkOwner owner_of(uint32_t chunk, uint32_t partition_count) const {
     if (chunk < record.owners.size()) return record.owners[chunk];
     uint32_t turn = chunk % std::max(1u, record.spread_over);
-    return {(record.home + turn) % parts, 0};
+    return {(record.home + turn) % partition_count, 0};
   }
   // Jobs whose tasks' places depend on each other.
   bool constrained() const { return spec().one_zone || spec().spread; }
-  // Whether chunks of it belong to several parts.
-  bool shared(uint32_t parts) const {
+  // Whether chunks of it belong to several partitions.
+  bool shared(uint32_t partition_count) const {
     for (uint32_t chunk = 1; chunk < record.chunk_count(); ++chunk) {
-      if (owner_of(chunk, parts).part != owner_of(0, parts).part) return true;
+      if (owner_of(chunk, partition_count).partition !=
+          owner_of(0, partition_count).partition)
+        return true;
     }
     return false;
   }
--- a/src/core/machines.h
+++ b/src/core/machines.h
@@ -1,4 +1,4 @@
-// A machine as its part's owner knows it: what is bound to it in the state
+// A machine as its partition's owner knows it: what is bound to it in the state
 // service, what its worker has reported, and what may be concluded from both.
 #ifndef PITCHFALL_CORE_MACHINES_H_
 #define PITCHFALL_CORE_MACHINES_H_
@@ -24,9 +24,9 @@
 struct HeldTask {
   const Job* job = nullptr;
   uint32_t attempt = 0;
-  // Bound by an earlier owner of the part, who may have sent the start.
+  // Bound by an earlier owner of the partition, who may have sent the start.
   bool inherited = false;
-  // Reported by the worker since this process owns the part.
+  // Reported by the worker since this process owns the partition.
   bool seen = false;
   // Session and number of the report whose answer last carried the start.
   std::optional<std::pair<uint64_t, uint64_t>> start_sent;
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -184,10 +184,10 @@
   std::string life;
   WallTime sent;
   Duration state_age{0};  // since this controller last read the state
-  // Per part: workers that came here in the last seconds because they could
-  // not reach its owner.
+  // Per partition: workers that came here in the last seconds because they
+  // could not reach its owner.
   std::vector<uint32_t> strays;
-  // Of the parts that I own.
+  // Of the partitions that I own.
   std::map<uint32_t, FreeRoom> free;
   // What this controller has lately used of the shared rates, a second.
   double requests = 0;
@@ -207,7 +207,7 @@
   std::vector<Echo> echoes;
   // Jobs known to be cancelled since the revisions of those echoed.
   std::vector<std::string> cancelled;
-  std::map<uint32_t, uint64_t> tokens;  // of the parts that I own
+  std::map<uint32_t, uint64_t> tokens;  // of the partitions that I own
 };
 
 // ---- Commands ----
--- a/src/core/mirror.cc
+++ b/src/core/mirror.cc
@@ -53,8 +53,8 @@
     ApplySegment(rest, change);
   } else if (TakePrefix(rest, keys::kNodes)) {
     ApplyTo(nodes_, std::string(rest), change);
-  } else if (TakePrefix(rest, keys::kParts)) {
-    ApplyTo(parts_, std::string(rest), change);
+  } else if (TakePrefix(rest, keys::kPartitions)) {
+    ApplyTo(partitions_, std::string(rest), change);
   } else if (TakePrefix(rest, keys::kRentals)) {
     ApplyTo(rentals_, std::string(rest), change);
   } else if (TakePrefix(rest, keys::kTeams)) {
@@ -114,23 +114,23 @@
   return cancelled;
 }
 
-void Mirror::ApplySegment(std::string_view part_and_slot,
+void Mirror::ApplySegment(std::string_view partition_and_slot,
                           const Change& change) {
-  size_t slash = part_and_slot.find('/');
+  size_t slash = partition_and_slot.find('/');
   if (slash == std::string_view::npos) return;
   auto number = [](std::string_view text, uint32_t& out) {
     const char* end = text.data() + text.size();
     return std::from_chars(text.data(), end, out).ptr == end;
   };
-  uint32_t part = 0;
+  uint32_t partition = 0;
   uint32_t slot = 0;
-  if (!number(part_and_slot.substr(0, slash), part) ||
-      !number(part_and_slot.substr(slash + 1), slot)) {
+  if (!number(partition_and_slot.substr(0, slash), partition) ||
+      !number(partition_and_slot.substr(slash + 1), slot)) {
     return;
   }
   const SegmentRecord* record =
       change.value ? std::get_if<SegmentRecord>(&*change.value) : nullptr;
-  Segment& segment = segments_[{part, slot}];
+  Segment& segment = segments_[{partition, slot}];
   // The same again may name jobs that were unknown the first time.
   if (record == nullptr || segment.stamp > change.stamp) return;
   segment.stamp = change.stamp;
@@ -140,7 +140,7 @@
     if (job == jobs_.end()) continue;
     segment.chunks.push_back({entry.job, entry.chunk});
     SetChunk(*job->second, entry.chunk,
-             {entry.record, change.stamp, part, slot});
+             {entry.record, change.stamp, partition, slot});
   }
 }
 
@@ -155,7 +155,8 @@
   auto [it, is_new] = job.chunks.try_emplace(chunk);
   Job::Chunk& slot = it->second;
   if (!is_new && order(slot) >= order(version)) return;
-  if (!is_new && slot.part == version.part && slot.record == version.record) {
+  if (!is_new && slot.partition == version.partition &&
+      slot.record == version.record) {
     // Copied forward.
     slot.stamp = version.stamp;
     slot.slot = version.slot;
@@ -177,7 +178,7 @@
   constexpr int64_t kChunk = 40;
   constexpr int64_t kAssignment = 20;
   auto assigned = static_cast<int64_t>(chunk.record.assigned.size());
-  live_bytes_[chunk.part] += sign * (kChunk + kAssignment * assigned);
+  live_bytes_[chunk.partition] += sign * (kChunk + kAssignment * assigned);
 }
 
 void Mirror::Refresh(Job& job) {
@@ -235,19 +236,21 @@
   return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-const Mirror::Versioned<PartRecord>* Mirror::FindPart(uint32_t part) const {
-  auto it = parts_.find(std::to_string(part));
-  return it == parts_.end() ? nullptr : &it->second;
+const Mirror::Versioned<PartitionRecord>* Mirror::FindPartition(
+    uint32_t partition) const {
+  auto it = partitions_.find(std::to_string(partition));
+  return it == partitions_.end() ? nullptr : &it->second;
 }
 
-const Mirror::Versioned<LoadRecord>* Mirror::FindLoad(uint32_t part) const {
-  auto it = loads_.find(std::to_string(part));
+const Mirror::Versioned<LoadRecord>* Mirror::FindLoad(
+    uint32_t partition) const {
+  auto it = loads_.find(std::to_string(partition));
   return it == loads_.end() ? nullptr : &it->second;
 }
 
-uint32_t Mirror::PartCount() const {
+uint32_t Mirror::PartitionCount() const {
   uint32_t count = 0;
-  for (const auto& [name, part] : parts_) {
+  for (const auto& [name, partition] : partitions_) {
     uint32_t number = 0;
     std::from_chars(name.data(), name.data() + name.size(), number);
     count = std::max(count, number + 1);
@@ -255,20 +258,21 @@
   return count;
 }
 
-const Mirror::Segment* Mirror::FindSegment(uint32_t part, uint32_t slot) const {
-  auto it = segments_.find({part, slot});
+const Mirror::Segment* Mirror::FindSegment(uint32_t partition,
+                                           uint32_t slot) const {
+  auto it = segments_.find({partition, slot});
   return it == segments_.end() ? nullptr : &it->second;
 }
 
-uint32_t Mirror::SlotCount(uint32_t part) const {
-  auto next = segments_.lower_bound({part + 1, 0});
+uint32_t Mirror::SlotCount(uint32_t partition) const {
+  auto next = segments_.lower_bound({partition + 1, 0});
   if (next == segments_.begin()) return 0;
   const auto& [key, segment] = *std::prev(next);
-  return key.first == part ? key.second + 1 : 0;
+  return key.first == partition ? key.second + 1 : 0;
 }
 
-size_t Mirror::LiveBytes(uint32_t part) const {
-  auto live = live_bytes_.find(part);
+size_t Mirror::LiveBytes(uint32_t partition) const {
+  auto live = live_bytes_.find(partition);
   return live == live_bytes_.end() ? 0 : static_cast<size_t>(live->second);
 }
 
@@ -280,7 +284,7 @@
   return nullptr;
 }
 
-bool Mirror::NodeAlive(const PartRecord& owner) const {
+bool Mirror::NodeAlive(const PartitionRecord& owner) const {
   return nodes_.contains(owner.label + "." + owner.life);
 }
 
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -66,25 +66,25 @@
   const Table<NodeRecord>& nodes() const { return nodes_; }
   const Table<RentalRecord>& rentals() const { return rentals_; }
   const Table<TeamRecord>& teams() const { return teams_; }
-  const Versioned<PartRecord>* FindPart(uint32_t part) const;
-  // One more than the highest number of a part that ever had an owner.
-  uint32_t PartCount() const;
-  const Segment* FindSegment(uint32_t part, uint32_t slot) const;
-  // One more than the number of the part's last slot ever written.
-  uint32_t SlotCount(uint32_t part) const;
-  // How many bytes the newest versions of the part's chunks take, about.
-  size_t LiveBytes(uint32_t part) const;
+  const Versioned<PartitionRecord>* FindPartition(uint32_t partition) const;
+  // One more than the highest number of a partition that ever had an owner.
+  uint32_t PartitionCount() const;
+  const Segment* FindSegment(uint32_t partition, uint32_t slot) const;
+  // One more than the number of the partition's last slot ever written.
+  uint32_t SlotCount(uint32_t partition) const;
+  // How many bytes the newest versions of the partition's chunks take, about.
+  size_t LiveBytes(uint32_t partition) const;
   const std::optional<Versioned<TypesRecord>>& types() const { return types_; }
   const std::optional<Versioned<DrainRecord>>& drain() const { return drain_; }
   bool Draining(const std::string& machine) const {
     return draining_.contains(machine);
   }
-  const Versioned<LoadRecord>* FindLoad(uint32_t part) const;
+  const Versioned<LoadRecord>* FindLoad(uint32_t partition) const;
   const std::optional<Versioned<SizingRecord>>& sizing() const {
     return sizing_;
   }
   const MachineType* FindType(const std::string& name) const;
-  bool NodeAlive(const PartRecord& owner) const;
+  bool NodeAlive(const PartitionRecord& owner) const;
   // Whether every live controller is of this version or a later one. One that
   // is gone or cannot reach the state service loses its lease, and counts no
   // more.
@@ -97,7 +97,7 @@
 
  private:
   void ApplyJob(const std::string& id, const Change& change);
-  void ApplySegment(std::string_view part_and_slot, const Change& change);
+  void ApplySegment(std::string_view partition_and_slot, const Change& change);
   void SetChunk(Job& job, uint32_t chunk, Job::Chunk version);
   void Refresh(Job& job);
   void Settle();
@@ -119,10 +119,11 @@
   // The newest cancellations by stamp, and up to where older ones are left out.
   std::set<std::pair<uint64_t, std::string>> cancellations_;
   uint64_t cancellations_from_ = 0;
-  std::map<std::pair<uint32_t, uint32_t>, Segment> segments_;  // part, slot
-  std::map<uint32_t, int64_t> live_bytes_;                     // by part
+  std::map<std::pair<uint32_t, uint32_t>, Segment>
+      segments_;                            // partition, slot
+  std::map<uint32_t, int64_t> live_bytes_;  // by partition
   Table<NodeRecord> nodes_;
-  Table<PartRecord> parts_;
+  Table<PartitionRecord> partitions_;
   Table<RentalRecord> rentals_;
   Table<TeamRecord> teams_;
   std::optional<Versioned<TypesRecord>> types_;
--- a/src/core/ownership.cc
+++ b/src/core/ownership.cc
@@ -17,7 +17,9 @@
   if (!context_.follower.Fresh()) return;
   Register();
   TrackNodes();
-  for (uint32_t part = 0; part < context_.parts; ++part) ConsiderPart(part);
+  for (uint32_t partition = 0; partition < context_.partition_count;
+       ++partition)
+    ReconcilePartition(partition);
 }
 
 void Ownership::KeepLease() {
@@ -95,18 +97,18 @@
   return newest;
 }
 
-std::string Ownership::IdealOwner(uint32_t part) const {
+std::string Ownership::IdealOwner(uint32_t partition) const {
   std::vector<std::string> labels{context_.deployment.label};
   for (const auto& peer : context_.deployment.peers) {
     labels.push_back(peer.label);
   }
   std::sort(labels.begin(), labels.end());
-  const std::string& first = labels[part % labels.size()];
+  const std::string& first = labels[partition % labels.size()];
   if (alive_since_.contains(first)) return first;
   std::string best;
   uint64_t best_hash = 0;
   for (const auto& [label, since] : alive_since_) {
-    uint64_t hash = StableHash(label, part + 1);
+    uint64_t hash = StableHash(label, partition + 1);
     if (best.empty() || hash > best_hash) {
       best = label;
       best_hash = hash;
@@ -116,20 +118,22 @@
 }
 
 Duration Ownership::TakeOverDelay(
-    uint32_t part, const Mirror::Versioned<PartRecord>* current) const {
+    uint32_t partition,
+    const Mirror::Versioned<PartitionRecord>* current) const {
   const std::string& me = context_.deployment.label;
   // An earlier life of this process is certainly dead: only one process can
   // hold this controller's addresses.
   if (current != nullptr && current->value.label == me) return Duration(0);
-  if (IdealOwner(part) == me) return Duration(0);
+  if (IdealOwner(partition) == me) return Duration(0);
   // At the very start the others may be up within moments.
   return current == nullptr ? Millis(1500) : Millis(1000);
 }
 
-void Ownership::ConsiderPart(uint32_t part) {
-  const Mirror::Versioned<PartRecord>* current = context_.mirror.FindPart(part);
+void Ownership::ReconcilePartition(uint32_t partition) {
+  const Mirror::Versioned<PartitionRecord>* current =
+      context_.mirror.FindPartition(partition);
   const std::string& me = context_.deployment.label;
-  Vacancy& vacancy = vacancies_[part];
+  Vacancy& vacancy = vacancies_[partition];
   SteadyTime now = context_.now();
   bool mine = current != nullptr && current->value.life == context_.life;
   if (mine) {
@@ -138,13 +142,13 @@
       vacancy.mine_stamp = current->stamp;
       vacancy.mine_since = now;
     }
-    std::string ideal = IdealOwner(part);
+    std::string ideal = IdealOwner(partition);
     auto alive = alive_since_.find(ideal);
     if (ideal != me && alive != alive_since_.end() &&
         now - alive->second >= context_.tuning.handover_after &&
         (current->value.shunned != ideal ||
          now - vacancy.mine_since >= kShunFor)) {
-      HandOver(part, ideal, false);
+      HandOver(partition, ideal, false);
     }
     return;
   }
@@ -158,72 +162,78 @@
   if (!vacancy.since) vacancy.since = now;
   if (vacancy.asking) return;
   SteadyTime from = std::max(*vacancy.since, *registered_at_);
-  if (now - from < TakeOverDelay(part, current)) return;
-  TakeOver(part, current);
+  if (now - from < TakeOverDelay(partition, current)) return;
+  TakeOver(partition, current);
 }
 
-void Ownership::TakeOver(uint32_t part,
-                         const Mirror::Versioned<PartRecord>* current) {
+void Ownership::TakeOver(uint32_t partition,
+                         const Mirror::Versioned<PartitionRecord>* current) {
   SteadyTime now = context_.now();
   context_.writes.Take(now, 1, -1e9);
   context_.requests.Take(now, 1, -1e9);
   const std::string& me = context_.deployment.label;
   Transaction txn;
   txn.conditions.push_back(
-      {keys::Part(part), current == nullptr ? 0 : current->stamp});
+      {keys::Partition(partition), current == nullptr ? 0 : current->stamp});
   if (current != nullptr && current->value.label != me) {
     txn.conditions.push_back(
         {keys::Node(current->value.label, current->value.life), 0});
   }
-  txn.writes.push_back({keys::Part(part), PartRecord{me, context_.life}});
-  vacancies_[part].asking = true;
-  context_.out.Log(LogLevel::kInfo, "event=takeover_asked part={} from={}",
-                   part, current == nullptr ? "nobody" : current->value.label);
+  txn.writes.push_back(
+      {keys::Partition(partition), PartitionRecord{me, context_.life}});
+  vacancies_[partition].asking = true;
+  context_.out.Log(LogLevel::kInfo, "event=takeover_asked partition={} from={}",
+                   partition,
+                   current == nullptr ? "nobody" : current->value.label);
   context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
-                         [this, part](const StateReply&) {
+                         [this, partition](const StateReply&) {
                            // Whatever the answer, or without one: the next
-                           // reading shows who owns the part now.
-                           context_.follower.AfterRead([this, part](bool) {
-                             vacancies_[part].asking = false;
+                           // reading shows who owns the partition now.
+                           context_.follower.AfterRead([this, partition](bool) {
+                             vacancies_[partition].asking = false;
                            });
                          });
 }
 
-void Ownership::HandOver(uint32_t part, const std::string& label,
+void Ownership::HandOver(uint32_t partition, const std::string& label,
                          bool unreachable) {
-  const Mirror::Versioned<PartRecord>* current = context_.mirror.FindPart(part);
+  const Mirror::Versioned<PartitionRecord>* current =
+      context_.mirror.FindPartition(partition);
   const Mirror::Versioned<NodeRecord>* node = FindNode(label);
-  Vacancy& vacancy = vacancies_[part];
+  Vacancy& vacancy = vacancies_[partition];
   if (current == nullptr || current->value.life != context_.life) return;
   if (node == nullptr || vacancy.asking) return;
   SteadyTime now = context_.now();
   if (!context_.writes.Take(now, 1) || !context_.requests.Take(now, 1)) return;
   Transaction txn;
-  txn.conditions.push_back({keys::Part(part), current->stamp});
+  txn.conditions.push_back({keys::Partition(partition), current->stamp});
   txn.conditions.push_back({keys::Node(label, node->value.life), node->stamp});
   txn.writes.push_back(
-      {keys::Part(part),
-       PartRecord{label, node->value.life,
-                  unreachable ? context_.deployment.label : ""}});
+      {keys::Partition(partition),
+       PartitionRecord{label, node->value.life,
+                       unreachable ? context_.deployment.label : ""}});
   vacancy.asking = true;
-  context_.out.Log(LogLevel::kInfo, "event=handover part={} to={} reason={}",
-                   part, label, unreachable ? "unreachable" : "balance");
+  context_.out.Log(LogLevel::kInfo,
+                   "event=handover partition={} to={} reason={}", partition,
+                   label, unreachable ? "unreachable" : "balance");
   context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
-                         [this, part](const StateReply&) {
-                           context_.follower.AfterRead([this, part](bool) {
-                             vacancies_[part].asking = false;
+                         [this, partition](const StateReply&) {
+                           context_.follower.AfterRead([this, partition](bool) {
+                             vacancies_[partition].asking = false;
                            });
                          });
 }
 
-std::optional<uint64_t> Ownership::TokenOf(uint32_t part) const {
-  const Mirror::Versioned<PartRecord>* current = context_.mirror.FindPart(part);
+std::optional<uint64_t> Ownership::TokenOf(uint32_t partition) const {
+  const Mirror::Versioned<PartitionRecord>* current =
+      context_.mirror.FindPartition(partition);
   if (current == nullptr || current->value.life != context_.life) return {};
   return current->stamp;
 }
 
-std::string Ownership::OwnerOf(uint32_t part) const {
-  const Mirror::Versioned<PartRecord>* current = context_.mirror.FindPart(part);
+std::string Ownership::OwnerOf(uint32_t partition) const {
+  const Mirror::Versioned<PartitionRecord>* current =
+      context_.mirror.FindPartition(partition);
   if (current == nullptr || !context_.mirror.NodeAlive(current->value)) {
     return "";
   }
--- a/src/core/ownership.h
+++ b/src/core/ownership.h
@@ -1,10 +1,10 @@
-// Membership and the ownership of parts: this controller's leased key, taking
-// over parts whose owner has gone, handing parts back to the controller whose
-// turn it is.
+// Membership and the ownership of partitions: this controller's leased key,
+// taking over partitions whose owner has gone, handing partitions back to the
+// controller whose turn it is.
 //
-// Who owns a part is read from the mirror alone. The stamp of a part's key is
-// its token: it rises with every change of owner, and every write of an owner
-// depends on it.
+// Who owns a partition is read from the mirror alone. The stamp of a
+// partition's key is its token: it rises with every change of owner, and every
+// write of an owner depends on it.
 #ifndef PITCHFALL_CORE_OWNERSHIP_H_
 #define PITCHFALL_CORE_OWNERSHIP_H_
 
@@ -24,13 +24,13 @@
 
   void Step();
 
-  // The part's token if this process owns it.
-  std::optional<uint64_t> TokenOf(uint32_t part) const;
+  // The partition's token if this process owns it.
+  std::optional<uint64_t> TokenOf(uint32_t partition) const;
   // The label of the live owner; empty if none is known.
-  std::string OwnerOf(uint32_t part) const;
-  // Gives a part to another controller, for instance to one that its workers
-  // can still reach.
-  void HandOver(uint32_t part, const std::string& label, bool unreachable);
+  std::string OwnerOf(uint32_t partition) const;
+  // Gives a partition to another controller, for instance to one that its
+  // workers can still reach.
+  void HandOver(uint32_t partition, const std::string& label, bool unreachable);
 
  private:
   struct Vacancy {
@@ -43,12 +43,14 @@
   void KeepLease();
   void Register();
   void TrackNodes();
-  void ConsiderPart(uint32_t part);
-  void TakeOver(uint32_t part, const Mirror::Versioned<PartRecord>* current);
-  Duration TakeOverDelay(uint32_t part,
-                         const Mirror::Versioned<PartRecord>* current) const;
-  // The controller that should own the part if all live ones are well.
-  std::string IdealOwner(uint32_t part) const;
+  void ReconcilePartition(uint32_t partition);
+  void TakeOver(uint32_t partition,
+                const Mirror::Versioned<PartitionRecord>* current);
+  Duration TakeOverDelay(
+      uint32_t partition,
+      const Mirror::Versioned<PartitionRecord>* current) const;
+  // The controller that should own the partition if all live ones are well.
+  std::string IdealOwner(uint32_t partition) const;
   const Mirror::Versioned<NodeRecord>* FindNode(const std::string& label) const;
   std::string MyKey() const {
     return keys::Node(context_.deployment.label, context_.life);
--- a/src/core/part.cc
+++ b/src/core/partition.cc
@@ -1,4 +1,4 @@
-#include "core/part.h"
+#include "core/partition.h"
 
 #include <algorithm>
 
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-Part::Part(Context& context, uint32_t number, uint64_t token)
+Partition::Partition(Context& context, uint32_t number, uint64_t token)
     : context_(context),
       number_(number),
       token_(token),
@@ -65,31 +65,34 @@
   }
   adopting_ = false;
   context_.mirror.AddListener(this);
-  context_.out.Log(LogLevel::kInfo, "event=part_owned part={} token={}",
-                   number_, token_);
+  context_.out.Log(LogLevel::kInfo,
+                   "event=partition_acquired partition={} token={}", number_,
+                   token_);
 }
 
-Part::~Part() {
+Partition::~Partition() {
   context_.mirror.RemoveListener(this);
   for (auto& [name, machine] : machines_) RefuseReport(machine);
-  context_.out.Log(LogLevel::kInfo, "event=part_left part={} token={}", number_,
+  context_.out.Log(LogLevel::kInfo,
+                   "event=partition_released partition={} token={}", number_,
                    token_);
 }
 
-Machine& Part::GetMachine(const std::string& name) {
+Machine& Partition::GetMachine(const std::string& name) {
   Machine& machine = machines_[name];
   machine.name = name;
   return machine;
 }
 
-void Part::OnChunk(const Job& job, uint32_t /*chunk*/, const Job::Chunk* before,
-                   const Job::Chunk* after) {
+void Partition::OnChunk(const Job& job, uint32_t /*chunk*/,
+                        const Job::Chunk* before, const Job::Chunk* after) {
   dirty_ = true;
   const JobSpec& spec = job.spec();
   static const std::vector<Assignment> kNone;
   auto mine = [&](const Job::Chunk* chunk) -> const std::vector<Assignment>& {
-    return chunk != nullptr && chunk->part == number_ ? chunk->record.assigned
-                                                      : kNone;
+    return chunk != nullptr && chunk->partition == number_
+               ? chunk->record.assigned
+               : kNone;
   };
   auto among = [](const std::vector<Assignment>& all, const Assignment& one) {
     return std::find(all.begin(), all.end(), one) != all.end();
@@ -122,7 +125,7 @@
 // While the state service is away, cancellations may be stored that this owner
 // does not hear of. A worker answered last now holds its tasks for one more
 // lease; that has to end before a cancellation's time is up.
-bool Part::MayAnswer() const {
+bool Partition::MayAnswer() const {
   const Deployment& d = context_.deployment;
   Duration limit = d.cancel - WithDrift(d.worker_lease) - kCancelMargin;
   SteadyTime known_until = context_.vouchers.KnownUntil(
@@ -130,27 +133,28 @@
   return !superseded_ && context_.now() - known_until < limit;
 }
 
-void Part::HearOwner(const std::string& label, uint64_t token) {
+void Partition::HearOwner(const std::string& label, uint64_t token) {
   if (token <= token_) return;
   if (!superseded_) {
-    context_.out.Log(LogLevel::kInfo, "event=superseded part={} by={} token={}",
-                     number_, label, token);
+    context_.out.Log(LogLevel::kInfo,
+                     "event=superseded partition={} by={} token={}", number_,
+                     label, token);
   }
   superseded_ = true;
   successor_ = label;
   context_.follower.Want();
 }
 
-void Part::RefuseReport(Machine& machine) {
+void Partition::RefuseReport(Machine& machine) {
   if (machine.waiting == 0) return;
   context_.out.Answer(machine.waiting, 503, Problem{"not entitled to answer"});
   machine.waiting = 0;
 }
 
-void Part::CheckIn(RequestId request, const WorkerReport& report) {
+void Partition::CheckIn(RequestId request, const WorkerReport& report) {
   SteadyTime now = context_.now();
   if (report.token > token_) {
-    // Somebody else owns the part: nothing of mine counts any more.
+    // Somebody else owns the partition: nothing of mine counts any more.
     superseded_ = true;
     context_.follower.Want();
   }
@@ -169,11 +173,11 @@
   Machine& machine = GetMachine(report.machine);
   RefuseReport(machine);
   if (!machine.report) {
-    context_.out.Log(LogLevel::kInfo,
-                     "event=worker_joined part={} machine={} spot={} zone={} "
-                     "session={}",
-                     number_, report.machine, report.spot, report.zone,
-                     report.session);
+    context_.out.Log(
+        LogLevel::kInfo,
+        "event=worker_joined partition={} machine={} spot={} zone={} "
+        "session={}",
+        number_, report.machine, report.spot, report.zone, report.session);
   }
   Duration silence = 3 * context_.deployment.report + Millis(1000);
   machine.back = !machine.report || now - machine.heard > silence;
@@ -195,7 +199,7 @@
 
 // The network may hold a report back and deliver it, or a copy of it, minutes
 // later. It must not bring a machine back to life.
-bool Part::Outdated(const WorkerReport& report) const {
+bool Partition::Outdated(const WorkerReport& report) const {
   if (deleted_.contains(report.machine)) return true;
   auto found = machines_.find(report.machine);
   if (found == machines_.end() || !found->second.report) return false;
@@ -210,8 +214,8 @@
 // A machine may report and yet hear nothing. That is not seen from any one
 // report, since answers get lost; but one that hears takes the token, carries
 // starts out, and stays in its session as long as it is answered.
-void Part::WeighHearing(Machine& machine,
-                        const std::optional<WorkerReport>& before) {
+void Partition::WeighHearing(Machine& machine,
+                             const std::optional<WorkerReport>& before) {
   SteadyTime now = context_.now();
   const WorkerReport& report = *machine.report;
   Duration lease = WithDrift(context_.deployment.worker_lease);
@@ -239,14 +243,14 @@
   }
 }
 
-bool Part::Deaf(const Machine& machine) const {
+bool Partition::Deaf(const Machine& machine) const {
   return machine.doubtful_since &&
          context_.now() - *machine.doubtful_since >
              WithDrift(context_.deployment.worker_lease) +
                  4 * context_.deployment.report;
 }
 
-void Part::UpdateMachine(Machine& machine) {
+void Partition::UpdateMachine(Machine& machine) {
   const WorkerReport& report = *machine.report;
   machine.address = report.address;
   machine.type = report.type;
@@ -291,7 +295,7 @@
 
 // Replicas never complete. One that has run for a while stands for a task that
 // has, when faulty jobs are told from faulty machines.
-void Part::NoteProvenReplica(const Machine& machine, HeldTask& task) {
+void Partition::NoteProvenReplica(const Machine& machine, HeldTask& task) {
   const JobSpec& spec = task.job->spec();
   if (spec.shape != Shape::kService || task.proven || !task.running_since ||
       machine.heard - *task.running_since < kProvenRun) {
@@ -305,8 +309,9 @@
   }
 }
 
-void Part::LogReplicaUp(const Machine& machine,
-                        const std::pair<const TaskKey, HeldTask>& entry) const {
+void Partition::LogReplicaUp(
+    const Machine& machine,
+    const std::pair<const TaskKey, HeldTask>& entry) const {
   const JobSpec& spec = entry.second.job->spec();
   if (spec.shape != Shape::kService || entry.second.inherited) return;
   Duration age = context_.out.now().wall - entry.second.job->record.submitted;
@@ -317,12 +322,12 @@
                    machine.images.contains(spec.image), ToSeconds(age));
 }
 
-bool Part::Wanted(const HeldTask& task) const {
+bool Partition::Wanted(const HeldTask& task) const {
   return !task.job->record.final() &&
          !context_.told_cancelled.contains(task.job->spec().id);
 }
 
-OrderPolicy Part::Policy(const Machine& machine) const {
+OrderPolicy Partition::Policy(const Machine& machine) const {
   OrderPolicy policy;
   policy.token = token_;
   policy.now = context_.now();
@@ -332,7 +337,7 @@
   return policy;
 }
 
-void Part::SendStops() {
+void Partition::SendStops() {
   for (auto& [name, machine] : machines_) {
     if (!machine.token_seen || machine.waiting != 0 || machine.gone ||
         machine.address.empty() || context_.now() < machine.next_stop) {
@@ -355,8 +360,9 @@
 // The worker reports what has changed, and answers to reports repeat stops. But
 // one that reaches no controller reports nothing, and a stop that was lost on
 // it has to be sent again.
-void Part::OnStopped(const std::string& name, const std::vector<Order>& stops,
-                     const WorkerReply& reply) {
+void Partition::OnStopped(const std::string& name,
+                          const std::vector<Order>& stops,
+                          const WorkerReply& reply) {
   if (reply.report && reply.report->token > token_) superseded_ = true;
   if (reply.status == 200) return;
   auto machine = machines_.find(name);
@@ -369,7 +375,7 @@
   }
 }
 
-void Part::AnswerReport(Machine& machine) {
+void Partition::AnswerReport(Machine& machine) {
   if (machine.waiting == 0) return;
   if (!MayAnswer()) {
     RefuseReport(machine);
@@ -382,7 +388,7 @@
   machine.answers += 1;
 }
 
-void Part::AnswerReports(SteadyTime before) {
+void Partition::AnswerReports(SteadyTime before) {
   for (auto& [name, machine] : machines_) {
     if (machine.waiting != 0 && machine.waiting_since <= before) {
       AnswerReport(machine);
@@ -390,7 +396,7 @@
   }
 }
 
-void Part::WalkMachines() {
+void Partition::WalkMachines() {
   SteadyTime now = context_.now();
   if (now < next_walk_) return;
   next_walk_ = now + kWalkGap;
@@ -402,7 +408,7 @@
   SendStops();
 }
 
-void Part::Step() {
+void Partition::Step() {
   SteadyTime now = context_.now();
   WalkMachines();
   announcer_.Step();
@@ -420,7 +426,7 @@
   Plan();
 }
 
-void Part::CheckMachines() {
+void Partition::CheckMachines() {
   SteadyTime now = context_.now();
   Duration lease = WithDrift(context_.deployment.worker_lease) + kLeaseMargin;
   // What an earlier owner last answered on (MayAnswer) it knew before this
@@ -478,7 +484,7 @@
 // Replicas would never end: those on a machine that is to go run elsewhere, as
 // soon as another machine has room. A few at a time, so that each finds its
 // place free.
-void Part::MoveReplicas(Machine& machine) {
+void Partition::MoveReplicas(Machine& machine) {
   auto moving = std::ranges::count_if(machine.held, [](const auto& entry) {
     return entry.second.job->spec().shape == Shape::kService &&
            entry.second.leave;
@@ -502,7 +508,8 @@
 
 // Whether another machine in the same zone, where the job's rules surely allow
 // it, has room for one of its tasks.
-bool Part::HasPlaceBeside(const Machine& machine, const JobSpec& spec) const {
+bool Partition::HasPlaceBeside(const Machine& machine,
+                               const JobSpec& spec) const {
   SteadyTime now = context_.now();
   return std::ranges::any_of(machines_, [&](const auto& entry) {
     const Machine& other = entry.second;
@@ -515,7 +522,7 @@
 // What is left on a machine that is to go keeps it rented. Tasks that can save
 // go on elsewhere if nothing else is left there, unless they have only begun or
 // are about to end: moving costs the saving, a fetch and a new start.
-void Part::MoveSavable(Machine& machine) {
+void Partition::MoveSavable(Machine& machine) {
   SteadyTime now = context_.now();
   bool worth = false;
   for (const auto& [key, task] : machine.held) {
@@ -534,7 +541,7 @@
   }
 }
 
-void Part::DeleteMachines() {
+void Partition::DeleteMachines() {
   SteadyTime now = context_.now();
   if (deleting_ || now < next_delete_ || machines_.empty()) return;
   next_delete_ = now + Millis(500);
@@ -603,25 +610,27 @@
 
 // ---- Planning ----
 
-Part::Draft::ChunkChange& Part::Touch(Draft& draft, const Job& job,
-                                      uint32_t chunk) {
+Partition::Draft::ChunkChange& Partition::Touch(Draft& draft, const Job& job,
+                                                uint32_t chunk) {
   auto [it, is_new] = draft.chunks.try_emplace({job.spec().id, chunk});
   if (is_new) {
     it->second.job = &job;
     if (const Job::Chunk* stored = job.FindChunk(chunk)) {
       it->second.record = stored->record;
     }
-    it->second.record.epoch = job.owner_of(chunk, context_.parts).epoch;
+    it->second.record.epoch =
+        job.owner_of(chunk, context_.partition_count).epoch;
   }
   return it->second;
 }
 
-bool Part::MayTouch(const Draft& draft, const Job& job, uint32_t chunk) const {
+bool Partition::MayTouch(const Draft& draft, const Job& job,
+                         uint32_t chunk) const {
   return draft.chunks.size() < most_chunks_ ||
          draft.chunks.contains({job.spec().id, chunk});
 }
 
-Part::EndsByChunk Part::FindEnds() {
+Partition::EndsByChunk Partition::FindEnds() {
   SteadyTime now = context_.now();
   EndsByChunk ends;
   for (auto& [name, machine] : machines_) {
@@ -641,11 +650,11 @@
 }
 
 // What the chunk's record says once these tasks have ended.
-ChunkRecord Part::RecordAfter(const std::vector<TaskEnd>& ends,
-                              uint32_t chunk) const {
+ChunkRecord Partition::RecordAfter(const std::vector<TaskEnd>& ends,
+                                   uint32_t chunk) const {
   const Job& job = *ends.front().held->job;
   ChunkRecord record = job.FindChunk(chunk)->record;
-  record.epoch = job.owner_of(chunk, context_.parts).epoch;
+  record.epoch = job.owner_of(chunk, context_.partition_count).epoch;
   for (const TaskEnd& end : ends) {
     std::erase_if(record.assigned, [&end](const Assignment& a) {
       return a.task == end.task && a.attempt == end.held->attempt &&
@@ -659,7 +668,7 @@
   return record;
 }
 
-void Part::DraftEnds(Draft& draft) {
+void Partition::DraftEnds(Draft& draft) {
   for (const auto& [key, ends] : FindEnds()) {
     const Job& job = *ends.front().held->job;
     if (!MayTouch(draft, job, key.second)) continue;
@@ -676,7 +685,7 @@
 }
 
 // What to remember of the end once it is stored, and what it frees.
-void Part::NoteEnd(Draft& draft, const Job& job, const TaskEnd& end) {
+void Partition::NoteEnd(Draft& draft, const Job& job, const TaskEnd& end) {
   const std::string& id = job.spec().id;
   bool completed = end.verdict == Verdict::kDone;
   bool replica = job.spec().shape == Shape::kService;
@@ -698,7 +707,7 @@
   quota_.AddPlanned(job.spec().team, Resources{} - job.spec().need);
 }
 
-void Part::DraftFinishedJobs(Draft& draft) {
+void Partition::DraftFinishedJobs(Draft& draft) {
   auto consider = [&](const Job& job) {
     if (job.record.final() || job.spec().shape == Shape::kService ||
         draft.done_jobs.contains(job.spec().id)) {
@@ -717,16 +726,16 @@
   std::set<const Job*, OrderById> touched;
   for (const auto& [key, change] : draft.chunks) touched.insert(change.job);
   for (const Job* job : touched) consider(*job);
-  // Two parts may have finished their last chunks at the same moment, neither
-  // seeing the other's: then the job's first part says so.
+  // Two partitions may have finished their last chunks at the same moment,
+  // neither seeing the other's: then the job's first partition says so.
   for (const auto& [id, job] : context_.mirror.open_jobs()) {
     if (job->done >= job->spec().tasks && Owns(*job, 0)) consider(*job);
   }
 }
 
-Part::Placed Part::StartsInChunk(Draft& draft, const Job& job, uint32_t chunk,
-                                 ZoneUse& use,
-                                 const std::vector<Machine*>& open) {
+Partition::Placed Partition::StartsInChunk(Draft& draft, const Job& job,
+                                           uint32_t chunk, ZoneUse& use,
+                                           const std::vector<Machine*>& open) {
   const JobSpec& spec = job.spec();
   const Job::Chunk* stored = job.FindChunk(chunk);
   auto drafted = draft.chunks.find({spec.id, chunk});
@@ -802,14 +811,14 @@
 
 // An earlier version may have stored a record that is too large to be written
 // again since the state service takes less.
-bool Part::FitsValue(const JobRecord& record) const {
+bool Partition::FitsValue(const JobRecord& record) const {
   return RecordBytes(record) <= context_.state_limits.ValueBytes();
 }
 
 // Whether the chunk's record still fits into a segment, whatever becomes of its
 // tasks, once another of them is on a machine.
-bool Part::FitsWithOneMore(const std::string& job, uint32_t chunk,
-                           const ChunkRecord& record) const {
+bool Partition::FitsWithOneMore(const std::string& job, uint32_t chunk,
+                                const ChunkRecord& record) const {
   size_t most_bytes = context_.state_limits.UsableValueBytes();
   size_t small = record.assigned.size() * kMostAssignmentBytes + kRecordBytes;
   bool few_ranges = record.done.iterative_size() <= kFewRanges;
@@ -818,15 +827,16 @@
          most_bytes;
 }
 
-bool Part::FitsSegment(const std::string& job, uint32_t chunk,
-                       const ChunkRecord& record) const {
+bool Partition::FitsSegment(const std::string& job, uint32_t chunk,
+                            const ChunkRecord& record) const {
   return SegmentFiller(context_.state_limits.UsableValueBytes())
       .Add({job, chunk, record});
 }
 
 // Whether all of a gang can start now: none of it may still be running, and the
 // machines must have room for all of it together.
-bool Part::GangFits(const Job& job, const std::vector<Machine*>& open) const {
+bool Partition::GangFits(const Job& job,
+                         const std::vector<Machine*>& open) const {
   const JobSpec& spec = job.spec();
   if (job.assigned > 0) return false;
   uint32_t left = spec.tasks - std::min(spec.tasks, job.done);
@@ -849,11 +859,11 @@
                      [&](const auto& zone) { return zone.second >= left; });
 }
 
-// Waiting work goes to parts that have room for it. A chunk that has been given
-// on before waits longer before it is again: free processors elsewhere may not
-// be what it needs.
-void Part::DraftMoves(Draft& draft, const Job& job) {
-  if (context_.parts == 1 || draft.others() >= draft_limit_) return;
+// Waiting work goes to partitions that have room for it. A chunk that has been
+// given on before waits longer before it is again: free processors elsewhere
+// may not be what it needs.
+void Partition::DraftMoves(Draft& draft, const Job& job) {
+  if (context_.partition_count == 1 || draft.others() >= draft_limit_) return;
   bool whole = job.spec().shape == Shape::kGang;
   if (whole && job.assigned > 0) return;
   SteadyTime now = context_.now();
@@ -861,11 +871,11 @@
   std::vector<ChunkOwner> owners;
   uint32_t chunks = job.record.chunk_count();
   for (uint32_t n = 0; n < chunks; ++n) {
-    owners.push_back(job.owner_of(n, context_.parts));
+    owners.push_back(job.owner_of(n, context_.partition_count));
   }
   std::vector<ChunkOwner> before = owners;
   for (uint32_t n = 0; n < chunks; ++n) {
-    if (owners[n].part != number_) continue;
+    if (owners[n].partition != number_) continue;
     const Job::Chunk* chunk = job.FindChunk(n);
     uint32_t done = 0;
     if (chunk != nullptr) {
@@ -879,7 +889,7 @@
     if (now - since < patience) continue;
     const JobSpec& spec = job.spec();
     // What keeps it waiting may be more than the number of processors, such as
-    // the zone: then one part after the other is tried.
+    // the zone: then one partition after the other is tried.
     auto [best, most] =
         owners[n].epoch < 2
             ? context_.room.Roomiest(spec, number_, number_, now)
@@ -898,7 +908,7 @@
   if (FitsValue(moved)) draft.moves[job.spec().id] = std::move(owners);
 }
 
-void Part::Preempt(const std::vector<const Job*>& jobs) {
+void Partition::Preempt(const std::vector<const Job*>& jobs) {
   auto victims = ChooseVictims(context_.mirror, context_.deployment, jobs,
                                context_.out.now().wall);
   for (auto& [name, machine] : machines_) {
@@ -916,7 +926,7 @@
   }
 }
 
-void Part::DraftStarts(Draft& draft, const std::vector<const Job*>& jobs) {
+void Partition::DraftStarts(Draft& draft, const std::vector<const Job*>& jobs) {
   SteadyTime now = context_.now();
   std::vector<Machine*> open;
   for (auto& [name, machine] : machines_) {
@@ -988,8 +998,9 @@
 
 // Whether a replica should rather wait a moment for room on a machine with its
 // image than start on `machine`, which would have to fetch it first.
-bool Part::AwaitsImage(const Job& job, const Machine& machine,
-                       const ZoneUse& use, const std::vector<Machine*>& open) {
+bool Partition::AwaitsImage(const Job& job, const Machine& machine,
+                            const ZoneUse& use,
+                            const std::vector<Machine*>& open) {
   const JobSpec& spec = job.spec();
   if (spec.shape != Shape::kService || machine.images.contains(spec.image)) {
     return false;
@@ -1004,7 +1015,7 @@
 
 // Whether another partition has room, so that the job's waiting chunks are
 // likely to be given to it next.
-bool Part::MayMoveSoon(const Job& job) const {
+bool Partition::MayMoveSoon(const Job& job) const {
   auto since = waiting_since_.find(job.spec().id);
   bool waits_long = since != waiting_since_.end() &&
                     context_.now() - since->second > kWaitForMove;
@@ -1013,7 +1024,7 @@
          context_.room.Roomiest(job.spec(), number_, number_, now).second > 0;
 }
 
-void Part::DraftLoad(Draft& draft) {
+void Partition::DraftLoad(Draft& draft) {
   auto period = static_cast<uint64_t>(
       context_.out.now().wall.time_since_epoch() / context_.tuning.period);
   if (period <= reported_period_ || draft.others() >= draft_limit_) return;
@@ -1025,7 +1036,7 @@
   Demand demand =
       MeasureDemand(context_.mirror, context_.deployment,
                     {load.failing.begin(), load.failing.end()},
-                    context_.out.now().wall, context_.parts, number_);
+                    context_.out.now().wall, context_.partition_count, number_);
   load.requested = demand.requested;
   load.waiting = demand.waiting;
   for (const auto& [name, machine] : machines_) load.used += machine.used;
@@ -1034,8 +1045,8 @@
   draft.load = std::move(load);
 }
 
-// What the part's room is used for, in processors.
-void Part::LogLoad(const LoadRecord& load) const {
+// What the partition's room is used for, in processors.
+void Partition::LogLoad(const LoadRecord& load) const {
   int64_t total = 0;
   int64_t draining = 0;
   int64_t starting = 0;
@@ -1058,7 +1069,8 @@
   };
   context_.out.Log(
       LogLevel::kInfo,
-      "event=part_load part={} machines={} cpus={:.0f} starting={:.0f} "
+      "event=partition_load partition={} machines={} cpus={:.0f} "
+      "starting={:.0f} "
       "fetching={:.0f} running={:.0f} ended={:.0f} closed={:.0f} waiting={} "
       "started={} segment_bytes={} slots={}",
       number_, machines_.size(), amount(total), amount(starting),
@@ -1067,7 +1079,8 @@
       context_.mirror.SlotCount(number_));
 }
 
-std::optional<Transaction> Part::MakeTransaction(const Draft& draft) const {
+std::optional<Transaction> Partition::MakeTransaction(
+    const Draft& draft) const {
   const StateLimits& state_limits = context_.state_limits;
   Transaction txn;
   size_t bytes = 0;  // of all but the segments
@@ -1075,7 +1088,7 @@
     bytes += size;
     txn.writes.push_back({std::move(key), std::move(record), 0});
   };
-  txn.conditions.push_back({keys::Part(number_), token_});
+  txn.conditions.push_back({keys::Partition(number_), token_});
   txn.conditions.push_back({keys::Fence(number_, token_), fence_});
   // A start must not be stored after a cancellation, nor in a chunk that has
   // been given away.
@@ -1114,7 +1127,8 @@
     txn.conditions.push_back(
         {keys::Team(name),
          stored == context_.mirror.teams().end() ? 0 : stored->second.stamp});
-    put(keys::Team(name), record, kRecordBytes * (1 + record.parts.size() / 8));
+    put(keys::Team(name), record,
+        kRecordBytes * (1 + record.shares.size() / 8));
   }
   if (draft.chunks.empty()) return txn;
   std::vector<SegmentRecord::Entry> changed;
@@ -1138,7 +1152,7 @@
   return txn;
 }
 
-void Part::ForgetPlanned() {
+void Partition::ForgetPlanned() {
   for (auto& [name, machine] : machines_) {
     machine.planned = {};
     machine.planned_images.clear();
@@ -1147,7 +1161,7 @@
   quota_.ForgetPlanned();
 }
 
-Part::Draft Part::MakeDraft(const std::vector<const Job*>& jobs) {
+Partition::Draft Partition::MakeDraft(const std::vector<const Job*>& jobs) {
   ForgetPlanned();
   Draft draft;
   DraftEnds(draft);
@@ -1159,12 +1173,12 @@
   return draft;
 }
 
-void Part::Plan() {
+void Partition::Plan() {
   SteadyTime now = context_.now();
   // One token is for the segment. What goes beyond the tokens at hand is
   // borrowed, so that a finished job need not wait until nothing else changes.
   // While there is none the plan is due at every step, so that it is this
-  // part's turn as soon as there is one.
+  // partition's turn as soon as there is one.
   double tokens = context_.writes.Available(now);
   short_of_tokens_ = tokens < 1;
   if (short_of_tokens_) {
@@ -1197,15 +1211,16 @@
   }
   if (!txn) {
     dirty_ = true;
-    context_.out.Log(LogLevel::kError, "event=segments_full part={} bytes={}",
-                     number_, context_.mirror.LiveBytes(number_));
+    context_.out.Log(LogLevel::kError,
+                     "event=segments_full partition={} bytes={}", number_,
+                     context_.mirror.LiveBytes(number_));
     AnswerReports(now);
     return;
   }
   Store(std::move(draft), std::move(*txn));
 }
 
-void Part::Store(Draft draft, Transaction txn) {
+void Partition::Store(Draft draft, Transaction txn) {
   SteadyTime now = context_.now();
   context_.writes.Take(now, static_cast<double>(txn.writes.size()), -1e9);
   context_.requests.Take(now, 1, -1e9);
@@ -1213,7 +1228,7 @@
   last_write_ = now;
   context_.out.Log(
       LogLevel::kDebug,
-      "event=store part={} chunks={} starts={} teams={} done={} moves={} "
+      "event=store partition={} chunks={} starts={} teams={} done={} moves={} "
       "puts={} tokens={:.1f}",
       number_, draft.chunks.size(), draft.starts, draft.teams.size(),
       draft.done_jobs.size(), draft.moves.size(), txn.writes.size(),
@@ -1226,8 +1241,8 @@
                          std::move(handler));
 }
 
-void Part::OnStored(const Draft& draft, const Transaction& txn,
-                    SteadyTime started, const StateReply& reply) {
+void Partition::OnStored(const Draft& draft, const Transaction& txn,
+                         SteadyTime started, const StateReply& reply) {
   storing_ = false;
   dirty_ = true;
   SteadyTime now = context_.now();
@@ -1241,7 +1256,7 @@
     context_.state_limits.OnRefused();
     for (const Write& write : txn.writes) {
       context_.out.Log(LogLevel::kError,
-                       "event=write_refused part={} key={} writes={} "
+                       "event=write_refused partition={} key={} writes={} "
                        "conditions={} value_bytes={}",
                        number_, write.key, txn.writes.size(),
                        txn.conditions.size(),
@@ -1271,8 +1286,8 @@
   if (reply.status != 409) {
     outcome_unknown_ = true;
     context_.out.Log(LogLevel::kWarning,
-                     "event=write_unknown part={} status={} writes={}", number_,
-                     reply.status, txn.writes.size());
+                     "event=write_unknown partition={} status={} writes={}",
+                     number_, reply.status, txn.writes.size());
   }
   for (const std::string& key : reply.failed) {
     // A fence whose own answer was lost.
@@ -1289,17 +1304,17 @@
 // that it never will be: a late copy would add starts to room and allotments
 // that have been given to others by then. Every write depends on the fence, so
 // once that has changed no earlier one can come through.
-void Part::RaiseFence() {
+void Partition::RaiseFence() {
   SteadyTime now = context_.now();
   if (!context_.writes.Take(now, 1)) return;
   context_.requests.Take(now, 1, -1e9);
   storing_ = true;
   last_write_ = now;
   Transaction txn;
-  txn.conditions.push_back({keys::Part(number_), token_});
-  txn.writes.push_back({keys::Fence(number_, token_),
-                        PartRecord{context_.deployment.label, context_.life},
-                        0});
+  txn.conditions.push_back({keys::Partition(number_), token_});
+  txn.writes.push_back(
+      {keys::Fence(number_, token_),
+       PartitionRecord{context_.deployment.label, context_.life}, 0});
   context_.out.CallState(
       std::move(txn), context_.tuning.state_timeout,
       [this, alive = std::weak_ptr<int>(alive_)](const StateReply& reply) {
@@ -1319,7 +1334,7 @@
       });
 }
 
-void Part::Remember(const Draft& draft) {
+void Partition::Remember(const Draft& draft) {
   SteadyTime now = context_.now();
   if (draft.load) {
     LogLoad(*draft.load);
@@ -1349,7 +1364,8 @@
   }
 }
 
-void Part::RememberFailure(const std::string& machine, const std::string& job) {
+void Partition::RememberFailure(const std::string& machine,
+                                const std::string& job) {
   const Job* known = context_.mirror.FindJob(job);
   bool job_succeeds =
       known != nullptr && (known->done > 0 || proven_services_.contains(job));
@@ -1364,7 +1380,7 @@
 }
 
 // A sick machine fails whatever it starts: it is emptied and returned.
-void Part::Quarantine(const std::string& name) {
+void Partition::Quarantine(const std::string& name) {
   auto found = machines_.find(name);
   if (found == machines_.end() || found->second.sick) return;
   found->second.sick = true;
@@ -1373,7 +1389,7 @@
                    failures_.ErrorsOn(name), failures_.FailedJobsOn(name));
 }
 
-FreeRoom Part::Free() const {
+FreeRoom Partition::Free() const {
   FreeRoom free;
   for (const auto& [name, machine] : machines_) {
     if (machine.TakesTasks(context_.now())) {
--- a/src/core/part.h
+++ b/src/core/partition.h
@@ -1,15 +1,15 @@
-// One part of the cluster as its owner runs it: the machines that hash into it,
-// the chunks of jobs that it owns.
+// One partition of the cluster as its owner runs it: the machines that hash
+// into it, the chunks of jobs that it owns.
 //
 // Everything is decided by comparing what is stored with the machines' newest
 // reports. One transaction at a time carries the outcome: ends, new
-// assignments, finished jobs; it depends on the part's token, on the stamps of
-// the segments that it overwrites and on those of the jobs whose tasks start.
-// Nobody else writes what the part owns, so nothing else can have changed.
-// Reports are answered after it, so that starts and forgets follow what is
-// stored.
-#ifndef PITCHFALL_CORE_PART_H_
-#define PITCHFALL_CORE_PART_H_
+// assignments, finished jobs; it depends on the partition's token, on the
+// stamps of the segments that it overwrites and on those of the jobs whose
+// tasks start. Nobody else writes what the partition owns, so nothing else can
+// have changed. Reports are answered after it, so that starts and forgets
+// follow what is stored.
+#ifndef PITCHFALL_CORE_PARTITION_H_
+#define PITCHFALL_CORE_PARTITION_H_
 
 #include <cstdint>
 #include <map>
@@ -30,16 +30,16 @@
 
 namespace pitchfall {
 
-class Part : public ChunkListener {
+class Partition : public ChunkListener {
  public:
-  Part(Context& context, uint32_t number, uint64_t token);
-  ~Part() override;
-  Part(const Part&) = delete;
-  Part& operator=(const Part&) = delete;
+  Partition(Context& context, uint32_t number, uint64_t token);
+  ~Partition() override;
+  Partition(const Partition&) = delete;
+  Partition& operator=(const Partition&) = delete;
 
   void CheckIn(RequestId request, const WorkerReport& report);
   void Step();
-  // Another controller says that it owns the part, and by which token.
+  // Another controller says that it owns the partition, and by which token.
   void HearOwner(const std::string& label, uint64_t token);
 
   void OnChunk(const Job& job, uint32_t chunk, const Job::Chunk* before,
@@ -50,7 +50,7 @@
   const std::map<std::string, Machine>& machines() const { return machines_; }
   FreeRoom Free() const;
   // Since when no worker has been heard; owners that their workers cannot
-  // reach give the part away.
+  // reach give the partition away.
   SteadyTime last_heard() const { return last_heard_; }
   // When it last sent a transaction; before any, when it was taken over.
   SteadyTime last_write() const { return last_write_; }
@@ -67,9 +67,9 @@
     };
     std::map<ChunkKey, ChunkChange> chunks;
     std::set<const Job*, OrderById> starting;
-    // Those of them whose tasks' places depend on what other parts start: the
-    // job's record is written anew, so that of two such starts that do not know
-    // of each other the second fails.
+    // Those of them whose tasks' places depend on what other partitions start:
+    // the job's record is written anew, so that of two such starts that do not
+    // know of each other the second fails.
     std::set<const Job*, OrderById> serialised;
     // New owners of these jobs' chunks.
     std::map<std::string, std::vector<ChunkOwner>> moves;
@@ -160,13 +160,13 @@
   bool MayMoveSoon(const Job& job) const;
   bool GangFits(const Job& job, const std::vector<Machine*>& open) const;
   bool Owns(const Job& job, uint32_t chunk) const {
-    return job.owner_of(chunk, context_.parts).part == number_;
+    return job.owner_of(chunk, context_.partition_count).partition == number_;
   }
-  // Whether a start of the job's tasks must not pass by another part's.
+  // Whether a start of the job's tasks must not pass by another partition's.
   bool Serialised(const Job& job) const {
-    return job.constrained() && job.shared(context_.parts);
+    return job.constrained() && job.shared(context_.partition_count);
   }
-  // Gives chunks that wait here for room to parts that have some.
+  // Gives chunks that wait here for room to partitions that have some.
   void DraftMoves(Draft& draft, const Job& job);
   enum class Placed : uint8_t { kAll, kNoMachine, kNoQuota };
   Placed StartsInChunk(Draft& draft, const Job& job, uint32_t chunk,
@@ -176,7 +176,7 @@
                    const ChunkRecord& record) const;
   bool FitsWithOneMore(const std::string& job, uint32_t chunk,
                        const ChunkRecord& record) const;
-  // None if the part's segments have no room for so much at once.
+  // None if the partition's segments have no room for so much at once.
   std::optional<Transaction> MakeTransaction(const Draft& draft) const;
   void Store(Draft draft, Transaction txn);
   void OnStored(const Draft& draft, const Transaction& txn, SteadyTime started,
@@ -187,7 +187,7 @@
   void Quarantine(const std::string& name);
 
   Context& context_;
-  // Replies that come after this part was given away find it expired.
+  // Replies that come after this partition was given away find it expired.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   const uint32_t number_;
   const uint64_t token_;
--- a/src/core/preemption.h
+++ b/src/core/preemption.h
@@ -29,8 +29,8 @@
 
 // Where a team's limit keeps its more important jobs waiting, tasks of its less
 // important ones that can save their progress, as many as are needed. The
-// choice follows from the mirror alone: owners of different parts, who each
-// stop their own, arrive at the same one.
+// choice follows from the mirror alone: owners of different partitions, who
+// each stop their own, arrive at the same one.
 //
 // Tasks that cannot save are left to finish: stopping them would throw away
 // more than the wait costs.
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -67,10 +67,10 @@
 
 enum class JobState : uint8_t { kAccepted = 0, kDone, kCancelled };
 
-// The part that runs a chunk. Only it starts the chunk's tasks, and only it
-// gives the chunk away, while nothing of it is bound to a machine.
+// The partition that runs a chunk. Only it starts the chunk's tasks, and only
+// it gives the chunk away, while nothing of it is bound to a machine.
 struct ChunkOwner {
-  uint32_t part = 0;
+  uint32_t partition = 0;
   uint32_t epoch = 0;
   friend bool operator==(const ChunkOwner&, const ChunkOwner&) = default;
 };
@@ -79,10 +79,11 @@
   JobSpec spec;
   JobState state = JobState::kAccepted;
   WallTime submitted;
-  uint32_t chunk_size = 8;   // tasks in one ChunkRecord
-  uint32_t home = 0;         // part that takes the first chunk
-  uint32_t spread_over = 1;  // parts that take chunks in turn, from `home` on
-  // By chunk, once one has been given to another part; until then empty.
+  uint32_t chunk_size = 8;  // tasks in one ChunkRecord
+  uint32_t home = 0;        // partition that takes the first chunk
+  uint32_t spread_over =
+      1;  // partitions that take chunks in turn, from `home` on
+  // By chunk, once one has been given to another partition; until then empty.
   std::vector<ChunkOwner> owners;
 
   bool final() const { return state != JobState::kAccepted; }
@@ -129,11 +130,12 @@
   uint32_t version = kFirstVersion;
 };
 
-// Names the owner of a part. The stamp of this key is the part's token.
-struct PartRecord {
+// Names the owner of a partition. The stamp of this key is the partition's
+// token.
+struct PartitionRecord {
   std::string label;
   std::string life;
-  // The owner before, if it gave the part up because its workers could not
+  // The owner before, if it gave the partition up because its workers could not
   // reach it: it should not get it back at once.
   std::string shunned;
 };
@@ -148,24 +150,25 @@
   std::vector<std::string> machines;  // once the cloud has answered
 };
 
-// How much of a limited team's room each part may use. The sum stays within
-// the team's limit; a part gives back only what no task of its can hold.
+// How much of a limited team's room each partition may use. The sum stays
+// within the team's limit; a partition gives back only what no task of its can
+// hold.
 struct TeamRecord {
   struct Allotment {
     int64_t cpus = 0;
     int64_t gpus = 0;
     friend bool operator==(const Allotment&, const Allotment&) = default;
   };
-  std::vector<Allotment> parts;
+  std::vector<Allotment> shares;
 };
 
-// Machines that the leader wants returned; the parts' owners empty and delete
-// them.
+// Machines that the leader wants returned; the partitions' owners empty and
+// delete them.
 struct DrainRecord {
   std::vector<std::string> machines;
 };
 
-// What a part's owner reports once a period.
+// What a partition's owner reports once a period.
 struct LoadRecord {
   uint64_t period = 0;
   Resources requested;   // by running and admissible waiting tasks
@@ -210,9 +213,9 @@
   std::vector<MachineType> types;
 };
 
-using Record = std::variant<JobRecord, SegmentRecord, NodeRecord, PartRecord,
-                            RentalRecord, TypesRecord, TeamRecord, DrainRecord,
-                            LoadRecord, SizingRecord>;
+using Record = std::variant<JobRecord, SegmentRecord, NodeRecord,
+                            PartitionRecord, RentalRecord, TypesRecord,
+                            TeamRecord, DrainRecord, LoadRecord, SizingRecord>;
 
 // Keys. Everything lies under one prefix, so that one watch sees it all in
 // order.
@@ -221,7 +224,7 @@
 inline constexpr char kJobs[] = "pf/jobs/";
 inline constexpr char kSegments[] = "pf/segments/";
 inline constexpr char kNodes[] = "pf/nodes/";
-inline constexpr char kParts[] = "pf/parts/";
+inline constexpr char kPartitions[] = "pf/parts/";
 inline constexpr char kRentals[] = "pf/rentals/";
 inline constexpr char kTeams[] = "pf/teams/";
 inline constexpr char kTypes[] = "pf/types";
@@ -230,20 +233,24 @@
 inline constexpr char kSizing[] = "pf/sizing";
 
 inline std::string Job(const std::string& id) { return kJobs + id; }
-inline std::string Segment(uint32_t part, uint32_t slot) {
-  return kSegments + std::to_string(part) + "/" + std::to_string(slot);
+inline std::string Segment(uint32_t partition, uint32_t slot) {
+  return kSegments + std::to_string(partition) + "/" + std::to_string(slot);
 }
 inline std::string Node(const std::string& label, const std::string& life) {
   return kNodes + label + "." + life;
 }
-inline std::string Part(uint32_t part) { return kParts + std::to_string(part); }
+inline std::string Partition(uint32_t partition) {
+  return kPartitions + std::to_string(partition);
+}
 // Changed after a write whose outcome stays unknown, so that a late copy of it
 // finds a condition unmet.
-inline std::string Fence(uint32_t part, uint64_t token) {
-  return "pf/fences/" + std::to_string(part) + "." + std::to_string(token);
+inline std::string Fence(uint32_t partition, uint64_t token) {
+  return "pf/fences/" + std::to_string(partition) + "." + std::to_string(token);
 }
 inline std::string Team(const std::string& name) { return kTeams + name; }
-inline std::string Load(uint32_t part) { return kLoads + std::to_string(part); }
+inline std::string Load(uint32_t partition) {
+  return kLoads + std::to_string(partition);
+}
 inline std::string Rental(const std::string& name) { return kRentals + name; }
 }  // namespace keys
 
--- a/src/core/room.h
+++ b/src/core/room.h
@@ -1,4 +1,4 @@
-// Free processors of every part, as its owner last told, less what this
+// Free processors of every partition, as its owner last told, less what this
 // controller has given to it since. They are told by the size of tasks: eight
 // machines with one free processor each have no room for a task of four.
 #ifndef PITCHFALL_CORE_ROOM_H_
@@ -46,47 +46,50 @@
 
 class RoomBook {
  public:
-  explicit RoomBook(uint32_t parts) : parts_(parts) {}
+  explicit RoomBook(uint32_t partition_count) : partitions_(partition_count) {}
 
-  void Hear(uint32_t part, const FreeRoom& free, SteadyTime now) {
-    if (part < parts_.size()) parts_[part] = {free, now};
+  void Hear(uint32_t partition, const FreeRoom& free, SteadyTime now) {
+    if (partition < partitions_.size()) partitions_[partition] = {free, now};
   }
   // How many of the job's tasks fit; none if the owner has not been heard for a
   // while.
-  int64_t Tasks(uint32_t part, const JobSpec& spec, SteadyTime now) const {
-    if (part >= parts_.size() || now - parts_[part].heard > kFresh) return 0;
-    const FreeRoom& free = parts_[part].free;
+  int64_t Tasks(uint32_t partition, const JobSpec& spec, SteadyTime now) const {
+    if (partition >= partitions_.size() ||
+        now - partitions_[partition].heard > kFresh)
+      return 0;
+    const FreeRoom& free = partitions_[partition].free;
     size_t size = FreeRoom::SizeFor(spec.need.cpus);
     int64_t cpus = spec.spot ? free.any[size] : free.ordinary[size];
     return std::max<int64_t>(0, cpus / Slot(spec));
   }
-  void Deal(uint32_t part, const JobSpec& spec, int64_t tasks) {
-    if (part >= parts_.size()) return;
-    FreeRoom& free = parts_[part].free;
+  void Deal(uint32_t partition, const JobSpec& spec, int64_t tasks) {
+    if (partition >= partitions_.size()) return;
+    FreeRoom& free = partitions_[partition].free;
     for (int64_t& cpus : free.any) cpus -= Slot(spec) * tasks;
     for (int64_t& cpus : free.ordinary) cpus -= Slot(spec) * tasks;
   }
-  // The part with room for the most of the job's tasks, and for how many;
+  // The partition with room for the most of the job's tasks, and for how many;
   // `otherwise` if none has any. Passes over `except`.
   std::pair<uint32_t, int64_t> Roomiest(const JobSpec& spec, uint32_t otherwise,
                                         std::optional<uint32_t> except,
                                         SteadyTime now) const {
     std::pair<uint32_t, int64_t> best{otherwise, 0};
-    for (uint32_t part = 0; part < parts_.size(); ++part) {
-      int64_t tasks = part == except ? 0 : Tasks(part, spec, now);
-      if (tasks > best.second) best = {part, tasks};
+    for (uint32_t partition = 0; partition < partitions_.size(); ++partition) {
+      int64_t tasks = partition == except ? 0 : Tasks(partition, spec, now);
+      if (tasks > best.second) best = {partition, tasks};
     }
     return best;
   }
-  // The next part after `part` that has room for any of them.
-  std::pair<uint32_t, int64_t> NextWithRoom(const JobSpec& spec, uint32_t part,
+  // The next partition after `partition` that has room for any of them.
+  std::pair<uint32_t, int64_t> NextWithRoom(const JobSpec& spec,
+                                            uint32_t partition,
                                             SteadyTime now) const {
-    auto count = static_cast<uint32_t>(parts_.size());
+    auto count = static_cast<uint32_t>(partitions_.size());
     for (uint32_t n = 1; n < count; ++n) {
-      uint32_t next = (part + n) % count;
+      uint32_t next = (partition + n) % count;
       if (int64_t tasks = Tasks(next, spec, now)) return {next, tasks};
     }
-    return {part, 0};
+    return {partition, 0};
   }
 
  private:
@@ -100,7 +103,7 @@
     FreeRoom free;
     SteadyTime heard{};
   };
-  std::vector<Entry> parts_;
+  std::vector<Entry> partitions_;
 };
 
 }  // namespace pitchfall
--- a/src/core/segments.cc
+++ b/src/core/segments.cc
@@ -26,11 +26,12 @@
 
 // Whether this is the chunk's newest version and still says something.
 const Job* LiveIn(const Mirror& mirror, const Mirror::ChunkKey& key,
-                  uint32_t part, uint32_t slot) {
+                  uint32_t partition, uint32_t slot) {
   const Job* job = mirror.FindJob(key.first);
   if (job == nullptr) return nullptr;
   const Job::Chunk* chunk = job->FindChunk(key.second);
-  if (chunk == nullptr || chunk->part != part || chunk->slot != slot) {
+  if (chunk == nullptr || chunk->partition != partition ||
+      chunk->slot != slot) {
     return nullptr;
   }
   bool over = job->record.final() && chunk->record.assigned.empty();
@@ -39,13 +40,13 @@
 
 // Adds to `changed` what the slot holds that is still needed and not in
 // `included` yet.
-void AddLiveEntries(const Mirror& mirror, uint32_t part, uint32_t slot,
+void AddLiveEntries(const Mirror& mirror, uint32_t partition, uint32_t slot,
                     std::set<Mirror::ChunkKey>& included,
                     std::vector<SegmentRecord::Entry>& changed) {
-  const Mirror::Segment* segment = mirror.FindSegment(part, slot);
+  const Mirror::Segment* segment = mirror.FindSegment(partition, slot);
   if (segment == nullptr) return;
   for (const Mirror::ChunkKey& key : segment->chunks) {
-    const Job* job = LiveIn(mirror, key, part, slot);
+    const Job* job = LiveIn(mirror, key, partition, slot);
     if (job == nullptr || !included.insert(key).second) continue;
     changed.push_back(
         {key.first, key.second, job->FindChunk(key.second)->record});
@@ -59,23 +60,24 @@
 // A ring has room for this many times what is in use in it.
 constexpr size_t kSpareRing = 4;
 
-// How many slots the part's ring has or should get. It never shrinks: slots
-// that were written are read again after a takeover.
-uint32_t RingSlots(const Mirror& mirror, uint32_t part, size_t value_bytes) {
-  size_t wanted = kSpareRing * mirror.LiveBytes(part) / value_bytes;
+// How many slots the partition's ring has or should get. It never shrinks:
+// slots that were written are read again after a takeover.
+uint32_t RingSlots(const Mirror& mirror, uint32_t partition,
+                   size_t value_bytes) {
+  size_t wanted = kSpareRing * mirror.LiveBytes(partition) / value_bytes;
   wanted = std::clamp<size_t>(wanted, kLeastSlots, kMostSlots);
-  return std::max(static_cast<uint32_t>(wanted), mirror.SlotCount(part));
+  return std::max(static_cast<uint32_t>(wanted), mirror.SlotCount(partition));
 }
 
 // Oldest first: the order in which the ring is overwritten. Slots that were
 // never written come before all others.
 std::vector<std::pair<uint64_t, uint32_t>> SlotsByAge(const Mirror& mirror,
-                                                      uint32_t part,
+                                                      uint32_t partition,
                                                       uint32_t count) {
   std::vector<std::pair<uint64_t, uint32_t>> slots;
   slots.reserve(count);
   for (uint32_t slot = 0; slot < count; ++slot) {
-    const Mirror::Segment* segment = mirror.FindSegment(part, slot);
+    const Mirror::Segment* segment = mirror.FindSegment(partition, slot);
     slots.push_back({segment == nullptr ? 0 : segment->stamp, slot});
   }
   std::sort(slots.begin(), slots.end());
@@ -115,16 +117,16 @@
 // Overwrites the oldest slots, as many as it takes, with the changes and what
 // these slots hold.
 std::optional<std::vector<SegmentWrite>> OverwriteOldest(
-    const Mirror& mirror, uint32_t part,
+    const Mirror& mirror, uint32_t partition,
     std::vector<SegmentRecord::Entry> changed, const SegmentLimits& limits) {
   std::set<Mirror::ChunkKey> included;
   for (const auto& entry : changed) included.insert({entry.job, entry.chunk});
-  auto slots =
-      SlotsByAge(mirror, part, RingSlots(mirror, part, limits.value_bytes));
+  auto slots = SlotsByAge(mirror, partition,
+                          RingSlots(mirror, partition, limits.value_bytes));
   std::vector<SegmentWrite> writes;
   while (writes.size() < std::min(limits.writes, slots.size())) {
     const auto& [stamp, slot] = slots[writes.size()];
-    AddLiveEntries(mirror, part, slot, included, changed);
+    AddLiveEntries(mirror, partition, slot, included, changed);
     writes.push_back({slot, stamp, {}});
     SegmentLimits slots_so_far = limits;
     slots_so_far.writes = writes.size();
@@ -141,17 +143,17 @@
 // Adds slots to the ring for the changes and as much as fits of what the oldest
 // slots hold.
 std::optional<std::vector<SegmentWrite>> ExtendRing(
-    const Mirror& mirror, uint32_t part,
+    const Mirror& mirror, uint32_t partition,
     const std::vector<SegmentRecord::Entry>& changed,
     const SegmentLimits& limits) {
   auto fillers = Fill(changed, limits);
-  uint32_t end = mirror.SlotCount(part);
+  uint32_t end = mirror.SlotCount(partition);
   if (!fillers || end + limits.writes > kMostSlots) return std::nullopt;
   std::set<Mirror::ChunkKey> included;
   for (const auto& entry : changed) included.insert({entry.job, entry.chunk});
   std::vector<SegmentRecord::Entry> older;
-  for (const auto& [stamp, slot] : SlotsByAge(mirror, part, end)) {
-    AddLiveEntries(mirror, part, slot, included, older);
+  for (const auto& [stamp, slot] : SlotsByAge(mirror, partition, end)) {
+    AddLiveEntries(mirror, partition, slot, included, older);
     if (older.size() > kMostMovedEntries) break;
   }
   for (const SegmentRecord::Entry& entry : older) {
@@ -213,12 +215,12 @@
 }
 
 std::optional<std::vector<SegmentWrite>> PlanSegments(
-    const Mirror& mirror, uint32_t part,
+    const Mirror& mirror, uint32_t partition,
     const std::vector<SegmentRecord::Entry>& changed,
     const SegmentLimits& limits) {
-  auto writes = OverwriteOldest(mirror, part, changed, limits);
+  auto writes = OverwriteOldest(mirror, partition, changed, limits);
   if (writes) return writes;
-  return ExtendRing(mirror, part, changed, limits);
+  return ExtendRing(mirror, partition, changed, limits);
 }
 
 }  // namespace pitchfall
--- a/src/core/segments.h
+++ b/src/core/segments.h
@@ -1,12 +1,12 @@
-// How a part's chunk records lie in the state service.
+// How a partition's chunk records lie in the state service.
 //
 // The service limits writes by their number, not by their size, so that a
 // record of its own for every chunk lets a few tasks a second through. Each
-// part therefore has a ring of segments, each one value, written in turn as in
-// a log-structured file system (Rosenblum and Ousterhout, 1991): a write holds
-// all chunks that have changed and, copied forward, those whose newest version
-// lies in the segment that it overwrites. What is newest follows from the
-// chunk's epoch and the segment's stamp alone.
+// partition therefore has a ring of segments, each one value, written in turn
+// as in a log-structured file system (Rosenblum and Ousterhout, 1991): a write
+// holds all chunks that have changed and, copied forward, those whose newest
+// version lies in the segment that it overwrites. What is newest follows from
+// the chunk's epoch and the segment's stamp alone.
 //
 // A version that says that nothing is bound any more need not be copied
 // forward once its job is over: everything older in the ring is overwritten
@@ -67,8 +67,8 @@
 size_t MostEntryBytes(const SegmentRecord::Entry& entry);
 
 // The segments to write so that `changed` is stored and nothing is lost: which
-// slots of the part's ring, and what goes into each. None if that takes more
-// than the limits allow.
+// slots of the partition's ring, and what goes into each. None if that takes
+// more than the limits allow.
 struct SegmentLimits {
   size_t value_bytes = 0;  // of each
   size_t total_bytes = 0;  // of all together
@@ -80,7 +80,7 @@
   SegmentRecord segment;
 };
 std::optional<std::vector<SegmentWrite>> PlanSegments(
-    const Mirror& mirror, uint32_t part,
+    const Mirror& mirror, uint32_t partition,
     const std::vector<SegmentRecord::Entry>& changed,
     const SegmentLimits& limits);
 
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -89,7 +89,7 @@
   Duration hold_report{Millis(1000)};
   Duration idle_before_return{Millis(5000)};
   uint32_t max_machines = 10000;
-  uint32_t parts = 0;  // 0: as many as controllers
+  uint32_t partition_count = 0;  // 0: as many as controllers
   uint32_t chunk_tasks = 8;
   Duration claim_delay{Millis(300)};
   Duration handover_after{Millis(10000)};
--- a/src/core/team_quota.cc
+++ b/src/core/team_quota.cc
@@ -31,7 +31,7 @@
   Resources sum;
   sum.cpus = more.cpus;
   sum.gpus = more.gpus;
-  for (const TeamRecord::Allotment& allotment : record.parts) {
+  for (const TeamRecord::Allotment& allotment : record.shares) {
     sum.cpus += allotment.cpus;
     sum.gpus += allotment.gpus;
   }
@@ -72,13 +72,14 @@
     auto stored = context_.mirror.teams().find(team);
     if (stored != context_.mirror.teams().end()) record = stored->second.value;
   }
-  record.parts.resize(std::max<size_t>(record.parts.size(), context_.parts));
+  record.shares.resize(
+      std::max<size_t>(record.shares.size(), context_.partition_count));
   return record;
 }
 
 TeamRecord::Allotment TeamQuota::StepOf(const Team& team) const {
   auto step = [this](int64_t limit) {
-    int64_t amount = limit / (int64_t{kSteps} * context_.parts);
+    int64_t amount = limit / (int64_t{kSteps} * context_.partition_count);
     return amount < kLeastStep ? 0 : amount;
   };
   return {step(team.cpus_limit), step(team.gpus_limit)};
@@ -111,7 +112,7 @@
   if (!must_begin && !LeavesReserved(job, team)) return false;
   const Resources use = UseHere(spec.team) + spec.need;
   TeamRecord record = RecordOf(drafted, spec.team);
-  Allotment& mine = record.parts[partition_];
+  Allotment& mine = record.shares[partition_];
   if (use.cpus <= mine.cpus && use.gpus <= mine.gpus) return true;
   // More than is needed now, as long as there is plenty: each change of the
   // record is a write.
@@ -143,10 +144,10 @@
   for (const auto& [name, stored] : context_.mirror.teams()) {
     auto team = context_.deployment.teams.find(name);
     if (team == context_.deployment.teams.end()) continue;
-    if (stored.value.parts.size() <= partition_) continue;
+    if (stored.value.shares.size() <= partition_) continue;
     TeamRecord record = RecordOf(drafted, name);
     const Allotment kept = Kept(team->second, record, UseHere(name));
-    Allotment& mine = record.parts[partition_];
+    Allotment& mine = record.shares[partition_];
     if (mine.cpus <= kept.cpus && mine.gpus <= kept.gpus) {
       unused_since_.erase(name);
       continue;
--- a/src/core/token_announcer.cc
+++ b/src/core/token_announcer.cc
@@ -19,10 +19,10 @@
 }  // namespace
 
 TokenAnnouncer::TokenAnnouncer(
-    Context& context, uint32_t part, uint64_t token,
+    Context& context, uint32_t partition, uint64_t token,
     std::function<bool(const std::string&)> has_seen_token)
     : context_(context),
-      part_(part),
+      partition_(partition),
       token_(token),
       has_seen_token_(std::move(has_seen_token)),
       next_page_(context.now() + kFirstPageAfter) {}
@@ -49,7 +49,8 @@
 
 void TokenAnnouncer::OnPage(const CloudReply& reply) {
   for (const ListedMachine& listed : reply.listed) {
-    bool mine = PartOf(listed.name, context_.parts) == part_;
+    bool mine =
+        PartitionOf(listed.name, context_.partition_count) == partition_;
     if (mine && !listed.address.empty() &&
         listed.status != MachineStatus::kFailed) {
       waiting_.push_back(listed);
@@ -86,8 +87,8 @@
 
 void TokenAnnouncer::SendToken(const ListedMachine& listed, uint64_t session) {
   context_.out.Log(LogLevel::kInfo,
-                   "event=show_token part={} machine={} token={}", part_,
-                   listed.name, token_);
+                   "event=show_token partition={} machine={} token={}",
+                   partition_, listed.name, token_);
   context_.out.CallWorker(listed.address, CommandWorker{token_, session, {}},
                           kCommandTimeout, [](const WorkerReply&) {});
 }
--- a/src/core/token_announcer.h
+++ b/src/core/token_announcer.h
@@ -25,7 +25,7 @@
  public:
   // `has_seen_token` tells whether the machine of that name has shown the token
   // already.
-  TokenAnnouncer(Context& context, uint32_t part, uint64_t token,
+  TokenAnnouncer(Context& context, uint32_t partition, uint64_t token,
                  std::function<bool(const std::string&)> has_seen_token);
 
   // Asks for the next page of machines and calls the next workers, as far as
@@ -40,7 +40,7 @@
   void SendToken(const ListedMachine& listed, uint64_t session);
 
   Context& context_;
-  const uint32_t part_;
+  const uint32_t partition_;
   const uint64_t token_;
   std::function<bool(const std::string&)> has_seen_token_;
   // Replies that come after this object's end find it expired.
--- a/src/core/users.cc
+++ b/src/core/users.cc
@@ -186,23 +186,24 @@
   record.submitted = context_.out.now().wall;
   record.chunk_size = std::max((spec.tasks + kMostChunks - 1) / kMostChunks,
                                context_.tuning.chunk_tasks);
-  // A gang starts as one: one part has to find room for all of it.
+  // A gang starts as one: one partition has to find room for all of it.
   if (spec.shape == Shape::kGang) record.chunk_size = spec.tasks;
   // Each replica by itself, so that one that is lost can go to whichever
   // partition has room while the others run.
   if (spec.shape == Shape::kService) {
     record.chunk_size = (spec.tasks + kMostChunks - 1) / kMostChunks;
   }
-  // The roomiest part takes the job; if it has not room for all of it, the
-  // parts take its chunks in turn, unless these depend on each other.
+  // The roomiest partition takes the job; if it has not room for all of it, the
+  // partitions take its chunks in turn, unless these depend on each other.
   SteadyTime now = context_.now();
   auto anywhere =
-      static_cast<uint32_t>(StableHash(spec.id, 0) % context_.parts);
+      static_cast<uint32_t>(StableHash(spec.id, 0) % context_.partition_count);
   auto [home, room] = context_.room.Roomiest(spec, anywhere, std::nullopt, now);
   if (spec.shape == Shape::kService) home = HomeOfService(spec, home);
   bool together = spec.one_zone || spec.spread;
   record.home = home;
-  record.spread_over = spec.tasks <= room || together ? 1 : context_.parts;
+  record.spread_over =
+      spec.tasks <= room || together ? 1 : context_.partition_count;
   if (record.spread_over == 1) {
     context_.room.Deal(home, spec, spec.tasks);
   }
@@ -214,8 +215,8 @@
 // several seconds sooner.
 uint32_t Users::HomeOfService(const JobSpec& spec, uint32_t otherwise) const {
   auto first = static_cast<uint32_t>(StableHash(spec.image, 0));
-  for (uint32_t n = 0; n < context_.parts; ++n) {
-    uint32_t partition = (first + n) % context_.parts;
+  for (uint32_t n = 0; n < context_.partition_count; ++n) {
+    uint32_t partition = (first + n) % context_.partition_count;
     if (context_.room.Tasks(partition, spec, context_.now()) >= spec.tasks) {
       return partition;
     }
--- a/src/wire/peer.capnp
+++ b/src/wire/peer.capnp
@@ -29,15 +29,15 @@
   markMicros @2 :Int64;
 }
 
-# Of a part that the sender owns.
+# Of a partition that the sender owns.
 struct Token {
-  part @0 :UInt32;
+  partition @0 :UInt32;
   token @1 :UInt64;
 }
 
-# Processors of a part that are free for tasks of 1, 2, 4 ... processors.
+# Processors of a partition that are free for tasks of 1, 2, 4 ... processors.
 struct Room {
-  part @0 :UInt32;
+  partition @0 :UInt32;
   any @1 :List(Int64);
   ordinary @2 :List(Int64);
 }
--- a/src/wire/peer.cc
+++ b/src/wire/peer.cc
@@ -46,9 +46,9 @@
   for (unsigned i = 0; i < strays.size(); ++i) strays.set(i, hello.strays[i]);
   auto rooms = root.initFree(static_cast<unsigned>(hello.free.size()));
   unsigned count = 0;
-  for (const auto& [part, free] : hello.free) {
+  for (const auto& [partition, free] : hello.free) {
     auto room = rooms[count++];
-    room.setPart(part);
+    room.setPartition(partition);
     PutSlots(room.initAny(FreeRoom::kSizes), free.any);
     PutSlots(room.initOrdinary(FreeRoom::kSizes), free.ordinary);
   }
@@ -70,8 +70,8 @@
   }
   auto tokens = root.initTokens(static_cast<unsigned>(hello.tokens.size()));
   count = 0;
-  for (const auto& [part, token] : hello.tokens) {
-    tokens[count].setPart(part);
+  for (const auto& [partition, token] : hello.tokens) {
+    tokens[count].setPartition(partition);
     tokens[count++].setToken(token);
   }
   auto words = capnp::messageToFlatArray(builder);  // owns the bytes
@@ -100,7 +100,7 @@
     hello.state_age = Duration(root.getStateAgeMicros());
     for (uint32_t strays : root.getStrays()) hello.strays.push_back(strays);
     for (auto room : root.getFree()) {
-      FreeRoom& free = hello.free[room.getPart()];
+      FreeRoom& free = hello.free[room.getPartition()];
       GetSlots(room.getAny(), free.any);
       GetSlots(room.getOrdinary(), free.ordinary);
     }
@@ -115,7 +115,7 @@
     }
     for (auto id : root.getCancelled()) hello.cancelled.push_back(id.cStr());
     for (auto token : root.getTokens()) {
-      hello.tokens[token.getPart()] = token.getToken();
+      hello.tokens[token.getPartition()] = token.getToken();
     }
     if (!(hello.requests >= 0) || !(hello.writes >= 0)) return std::nullopt;
     return hello;
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -78,7 +78,7 @@
   out.Pair("chunk", job.chunk_size).Pair("home", job.home);
   out.Pair("over", job.spread_over).Pair("v", 1);
   out.Pair("shape", static_cast<int>(spec.shape));
-  // Runs of chunks of one owner: how many, part, epoch.
+  // Runs of chunks of one owner: how many, partition, epoch.
   size_t runs = 0;
   const auto& owners = job.owners;
   for (size_t i = 0; i < owners.size(); ++i) {
@@ -88,7 +88,7 @@
   for (size_t i = 0; i < owners.size();) {
     size_t end = i + 1;
     while (end < owners.size() && owners[end] == owners[i]) ++end;
-    out.Value(end - i).Value(owners[i].part).Value(owners[i].epoch);
+    out.Value(end - i).Value(owners[i].partition).Value(owners[i].epoch);
     i = end;
   }
 }
@@ -125,7 +125,7 @@
   for (uint32_t i = 0; i < runs.size; i += 3) {
     uint64_t count = Fields::AsCount(runs.ptr[i], "owners", kMostChunks);
     ChunkOwner owner;
-    owner.part = static_cast<uint32_t>(
+    owner.partition = static_cast<uint32_t>(
         Fields::AsCount(runs.ptr[i + 1], "owners", UINT32_MAX));
     owner.epoch = static_cast<uint32_t>(
         Fields::AsCount(runs.ptr[i + 2], "owners", UINT32_MAX));
@@ -267,11 +267,11 @@
           static_cast<uint32_t>(in.CountOr("version", kFirstVersion))};
 }
 
-void Pack(Packer& out, const PartRecord& part) {
-  out.Map(3).Pair("label", part.label).Pair("life", part.life);
-  out.Pair("shun", part.shunned);
+void Pack(Packer& out, const PartitionRecord& share) {
+  out.Map(3).Pair("label", share.label).Pair("life", share.life);
+  out.Pair("shun", share.shunned);
 }
-PartRecord ReadPart(const Fields& in) {
+PartitionRecord ReadPartition(const Fields& in) {
   return {in.Text("label"), in.Text("life"), in.TextOr("shun", "")};
 }
 
@@ -323,9 +323,9 @@
 }
 
 void Pack(Packer& out, const TeamRecord& team) {
-  out.Map(1).Key("parts").List(team.parts.size());
-  for (const auto& part : team.parts) {
-    out.List(2).Value(part.cpus).Value(part.gpus);
+  out.Map(1).Key("parts").List(team.shares.size());
+  for (const auto& share : team.shares) {
+    out.List(2).Value(share.cpus).Value(share.gpus);
   }
 }
 TeamRecord ReadTeam(const Fields& in) {
@@ -336,8 +336,8 @@
     if (row.type != msgpack::type::ARRAY || row.via.array.size != 2) {
       Fields::Fail("parts", "is not a list of pairs");
     }
-    team.parts.push_back({AsInteger(row.via.array.ptr[0], "parts"),
-                          AsInteger(row.via.array.ptr[1], "parts")});
+    team.shares.push_back({AsInteger(row.via.array.ptr[0], "parts"),
+                           AsInteger(row.via.array.ptr[1], "parts")});
   }
   return team;
 }
@@ -413,7 +413,7 @@
   if (key.starts_with(keys::kJobs)) return ReadJob(in);
   if (key.starts_with(keys::kSegments)) return ReadSegment(in);
   if (key.starts_with(keys::kNodes)) return ReadNode(in);
-  if (key.starts_with(keys::kParts)) return ReadPart(in);
+  if (key.starts_with(keys::kPartitions)) return ReadPartition(in);
   if (key.starts_with(keys::kRentals)) return ReadRental(in);
   if (key.starts_with(keys::kTeams)) return ReadTeam(in);
   if (key == keys::kTypes) return ReadTypes(in);
--- a/tests/bound_test.cc
+++ b/tests/bound_test.cc
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/part.h"
+#include "core/partition.h"
 #include "core/vouchers.h"
 
 namespace pitchfall {
@@ -53,7 +53,7 @@
     Read();  // the list
     Read();  // what came since: everything is known as of here
     known_at_ = now_.steady;
-    part_ = std::make_unique<Part>(context_, 0, kToken);
+    partition_ = std::make_unique<Partition>(context_, 0, kToken);
   }
 
   void SetNow(Duration at) {
@@ -92,8 +92,8 @@
 
   // The status of the answer to a report that comes now; its effects are kept.
   int StatusOfReport(uint64_t seq, std::vector<ReportedTask> tasks = {}) {
-    part_->CheckIn(seq, ReportOf(seq, std::move(tasks)));
-    part_->Step();
+    partition_->CheckIn(seq, ReportOf(seq, std::move(tasks)));
+    partition_->Step();
     effects_ = out_.TakeEffects();
     for (const Effect& effect : effects_) {
       const auto* reply = std::get_if<Reply>(&effect);
@@ -125,7 +125,7 @@
   TokenBucket cloud_;
   Follower follower_;
   Context context_;
-  std::unique_ptr<Part> part_;
+  std::unique_ptr<Partition> partition_;
   Now now_{};
   SteadyTime known_at_{};
   std::vector<Effect> effects_;
@@ -213,12 +213,12 @@
   EXPECT_EQ(alone.KnownUntil(known_at_, later), later);
 }
 
-// Another controller that owns the part says so: whatever the clock says,
+// Another controller that owns the partition says so: whatever the clock says,
 // nothing is answered any more, and workers are sent there.
 TEST_F(Bound, EndsWhenALaterOwnerIsHeard) {
-  part_->HearOwner("node-2", kToken - 1);  // an earlier one
+  partition_->HearOwner("node-2", kToken - 1);  // an earlier one
   EXPECT_EQ(StatusOfReport(1), 200);
-  part_->HearOwner("node-2", kToken + 1);
+  partition_->HearOwner("node-2", kToken + 1);
   EXPECT_EQ(StatusOfReport(2), 421);
   EXPECT_EQ(redirect_, "node-2");
 }
@@ -232,7 +232,7 @@
   auto write = [this]() -> std::optional<StateCall> {
     for (int step = 0; step < 100; ++step) {
       Advance(Millis(50));
-      part_->Step();
+      partition_->Step();
       follower_.Step();
       std::optional<StateCall> found;
       for (const Effect& effect : out_.TakeEffects()) {
@@ -272,7 +272,7 @@
   const auto& conditions = std::get<Transaction>(lost->request).conditions;
   EXPECT_TRUE(std::any_of(
       conditions.begin(), conditions.end(), [](const Condition& condition) {
-        return condition.key == keys::Part(0) && condition.stamp == kToken;
+        return condition.key == keys::Partition(0) && condition.stamp == kToken;
       }));
   answer(*lost, 0, 0);
   std::optional<StateCall> fence = write();
@@ -340,7 +340,7 @@
   }
   std::vector<WorkerCall> StepLater(Duration by) {
     Advance(by);
-    part_->Step();
+    partition_->Step();
     effects_ = out_.TakeEffects();
     return StopCalls();
   }
@@ -401,7 +401,7 @@
   refused.status = 503;
   out_.Handle(refused);
   Advance(Millis(500));
-  part_->Step();
+  partition_->Step();
   Advance(Millis(100));
   ASSERT_EQ(StatusOfReport(3), 200);
   EXPECT_EQ(StartsSent(), 1u);
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -231,18 +231,19 @@
 TEST(Mirror, AChunkThatWasGivenAwayStaysWithItsNewOwner) {
   Mirror mirror;
   mirror.Apply(JobChange(Spec("run-1", 8, 1), 1));
-  auto version = [](uint32_t part, uint32_t epoch, uint64_t stamp, bool on) {
+  auto version = [](uint32_t partition, uint32_t epoch, uint64_t stamp,
+                    bool on) {
     ChunkRecord record;
     record.epoch = epoch;
     if (on) record.assigned = {{0, 1, "m-1", "a"}};
-    return Change{keys::Segment(part, 0), SegmentRecord{{{"run-1", 0, record}}},
-                  stamp};
+    return Change{keys::Segment(partition, 0),
+                  SegmentRecord{{{"run-1", 0, record}}}, stamp};
   };
   mirror.Apply(version(0, 0, 2, false));
   mirror.Apply(version(1, 1, 3, true));
   mirror.Apply(version(0, 0, 4, false));
   EXPECT_EQ(mirror.FindJob("run-1")->assigned, 1u);
-  EXPECT_EQ(mirror.FindJob("run-1")->FindChunk(0)->part, 1u);
+  EXPECT_EQ(mirror.FindJob("run-1")->FindChunk(0)->partition, 1u);
 }
 
 TEST(Mirror, UnreadableRecordsArePassedOver) {
@@ -345,13 +346,13 @@
   EXPECT_EQ(mirror.revision(), 100u);
 }
 
-// The stored number of parts contradicts the setting: said once, with the
-// remedy, since what lies in the other parts would be left alone for ever.
-TEST(Controller, NamesStoredPartsThatTheSettingLeavesOut) {
+// The stored number of partitions contradicts the setting: said once, with the
+// remedy, since what lies in the other partitions would be left alone for ever.
+TEST(Controller, NamesStoredPartitionsThatTheSettingLeavesOut) {
   Deployment deployment;
   deployment.label = "node-0";
   Tuning tuning;
-  tuning.parts = 2;
+  tuning.partition_count = 2;
   Controller controller(deployment, tuning, "1");
   Now now{SteadyTime(Seconds(1000)), WallTime(Seconds(1000))};
   std::vector<Command> batch{Tick{}};
@@ -362,7 +363,7 @@
     batch = {Tick{}};
     for (const Effect& effect : effects) {
       if (const auto* line = std::get_if<LogLine>(&effect)) {
-        if (line->text.find("parts_mismatch") != std::string::npos) {
+        if (line->text.find("partition_count_mismatch") != std::string::npos) {
           said.push_back(line->text);
         }
       }
@@ -374,7 +375,7 @@
       reply.revision = 10;
       if (std::holds_alternative<ListRead>(call->request)) {
         reply.changes.push_back(
-            {keys::Part(4), PartRecord{"node-7", "old", ""}, 9});
+            {keys::Partition(4), PartitionRecord{"node-7", "old", ""}, 9});
       }
       batch.push_back(reply);
     }
@@ -458,9 +459,9 @@
   EXPECT_EQ(stored.size(), kLeastSlots);
 }
 
-// A part whose machines hold far more tasks than the ring's first slots can
-// say: every change still finds room, ends too, and as little is copied forward
-// as in a ring with room to spare.
+// A partition whose machines hold far more tasks than the ring's first slots
+// can say: every change still finds room, ends too, and as little is copied
+// forward as in a ring with room to spare.
 TEST(Segments, TheRingGrowsWithWhatItHolds) {
   constexpr size_t kBytes = 2000;
   constexpr uint32_t kJobs = 800;
@@ -890,13 +891,13 @@
   EXPECT_FALSE(bucket.Take(now + Seconds(20), 1));
 }
 
-TEST(PartOf, MovesFewMachinesAndAllToTheNewPart) {
+TEST(PartitionOf, MovesFewMachinesAndAllToTheNewPartition) {
   int moved = 0;
   std::map<uint32_t, int> sizes;
   for (int i = 0; i < 3000; ++i) {
     std::string name = "m-" + std::to_string(100000 + i);
-    uint32_t three = PartOf(name, 3);
-    uint32_t four = PartOf(name, 4);
+    uint32_t three = PartitionOf(name, 3);
+    uint32_t four = PartitionOf(name, 4);
     ++sizes[three];
     if (three != four) {
       ++moved;
@@ -904,7 +905,7 @@
     }
   }
   EXPECT_NEAR(moved, 750, 100);
-  for (const auto& [part, size] : sizes) EXPECT_NEAR(size, 1000, 100);
+  for (const auto& [partition, size] : sizes) EXPECT_NEAR(size, 1000, 100);
 }
 
 }  // namespace
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -28,11 +28,11 @@
       [](World& world) { EXPECT_GT(world.cancelled(), 0); });
 }
 
-TEST(Gap, OfAnyPartsOwner) {
-  for (uint32_t part : {1u, 2u}) {
-    Play({}, [part](World& world) {
-      world.At(30, [&world, part] {
-        world.CutNode(world.OwnerOf(part), {.state = true}, 4);
+TEST(Gap, OfAnyPartitionsOwner) {
+  for (uint32_t partition : {1u, 2u}) {
+    Play({}, [partition](World& world) {
+      world.At(30, [&world, partition] {
+        world.CutNode(world.OwnerOf(partition), {.state = true}, 4);
       });
       world.At(30.5, [&world] { world.CancelNow(6, 0); });
       world.At(31.5, [&world] { world.StopState(Seconds(30)); });
@@ -59,8 +59,8 @@
       });
 }
 
-// The part is taken over just before the outage: some workers follow the new
-// owner and some the old.
+// The partition is taken over just before the outage: some workers follow the
+// new owner and some the old.
 TEST(Gap, WithATakeoverJustBefore) {
   Play({}, [](World& world) {
     world.At(
--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -98,7 +98,7 @@
     SCOPED_TRACE(seed);
     WorldConfig config;
     config.seed = seed;
-    config.parts = seed % 4;
+    config.partition_count = seed % 4;
     config.meeting_troubles = seed % 2 == 0;
     config.fleet_troubles = seed % 3 == 0;
     MixedConfig(config);
--- a/tests/operations_test.cc
+++ b/tests/operations_test.cc
@@ -55,7 +55,7 @@
 
 // The leader loses its workers, no answer and no refusal: each waits four
 // seconds for it and is heard by the same other controller every five and a
-// half. The part is handed over before their leases run out.
+// half. The partition is handed over before their leases run out.
 TEST(Operations, WorkersThatLoseTheirOwnerFindAnotherInTime) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     WorldConfig config = CalmConfig(seed);
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -140,7 +140,7 @@
       "; a comment with (parentheses\n(node-lease 2.5)\n(parts 1) (horizon 4)",
       "ops.sexp");
   EXPECT_EQ(tuning.node_lease, Millis(2500));
-  EXPECT_EQ(tuning.parts, 1u);
+  EXPECT_EQ(tuning.partition_count, 1u);
   EXPECT_EQ(tuning.horizon, 4u);
 }
 
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -243,7 +243,7 @@
   }
   static old::Tuning MakeTuning(const Tuning& from) {
     old::Tuning to;
-    to.parts = from.parts;
+    to.parts = from.partition_count;
     to.node_lease = ToOld(from.node_lease);
     to.chunk_tasks = from.chunk_tasks;
     return to;
--- a/tests/sim/world.cc
+++ b/tests/sim/world.cc
@@ -257,7 +257,7 @@
     if (i != index) d.peers.push_back({Label(i), ""});
   }
   Tuning tuning;
-  tuning.parts = config_.parts;
+  tuning.partition_count = config_.partition_count;
   tuning.node_lease = Seconds(2);
   tuning.chunk_tasks = 4;
   ControllerSetup setup{d, tuning, fmt::format("{}x{}", index, node.life)};
@@ -959,14 +959,14 @@
   for (size_t i = 0; i < config_.nodes; ++i) CrashNode(i, Seconds(down_s));
 }
 
-size_t World::OwnerOf(uint32_t part) const {
-  auto entry = state_.entries().find("pf/parts/" + std::to_string(part));
+size_t World::OwnerOf(uint32_t partition) const {
+  auto entry = state_.entries().find("pf/parts/" + std::to_string(partition));
   if (entry == state_.entries().end()) return 0;
   const std::string& value = entry->second.value;
   msgpack::object_handle unpacked = msgpack::unpack(value.data(), value.size());
   auto record = wire::ReadRecord(entry->first, unpacked.get());
   for (size_t i = 0; i < config_.nodes; ++i) {
-    if (Label(i) == std::get<PartRecord>(*record).label) return i;
+    if (Label(i) == std::get<PartitionRecord>(*record).label) return i;
   }
   return 0;
 }
@@ -1014,24 +1014,25 @@
   return now_ < window.until && Chance() < window.share;
 }
 
-uint64_t World::OwnerStamp(uint32_t part) const {
-  auto entry = state_.entries().find(keys::Part(part));
+uint64_t World::OwnerStamp(uint32_t partition) const {
+  auto entry = state_.entries().find(keys::Partition(partition));
   return entry == state_.entries().end() ? 0 : entry->second.stamp;
 }
 
 void World::KeepReport(const std::string& machine, const MakeCommand& report) {
-  uint32_t parts =
-      config_.parts > 0 ? config_.parts : static_cast<uint32_t>(config_.nodes);
-  uint32_t part = PartOf(machine, parts);
-  AwaitNextOwner(machine, report, part, OwnerStamp(part));
+  uint32_t partition_count = config_.partition_count > 0
+                                 ? config_.partition_count
+                                 : static_cast<uint32_t>(config_.nodes);
+  uint32_t partition = PartitionOf(machine, partition_count);
+  AwaitNextOwner(machine, report, partition, OwnerStamp(partition));
 }
 
 void World::AwaitNextOwner(const std::string& machine,
-                           const MakeCommand& report, uint32_t part,
+                           const MakeCommand& report, uint32_t partition,
                            uint64_t stamp) {
-  if (OwnerStamp(part) == stamp) {
-    After(Millis(50), [this, machine, report, part, stamp] {
-      AwaitNextOwner(machine, report, part, stamp);
+  if (OwnerStamp(partition) == stamp) {
+    After(Millis(50), [this, machine, report, partition, stamp] {
+      AwaitNextOwner(machine, report, partition, stamp);
     });
     return;
   }
@@ -1562,8 +1563,9 @@
       txn.writes,
       [](const Write& write) { return write.key.starts_with(keys::kTeams); }));
   for (const Condition& condition : txn.conditions) {
-    if (!condition.key.starts_with(keys::kParts)) continue;
-    std::string number = condition.key.substr(std::string(keys::kParts).size());
+    if (!condition.key.starts_with(keys::kPartitions)) continue;
+    std::string number =
+        condition.key.substr(std::string(keys::kPartitions).size());
     owner_transactions_[static_cast<uint32_t>(std::stoul(number))] += 1;
   }
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -28,7 +28,7 @@
 struct WorldConfig {
   uint64_t seed = 1;
   size_t nodes = 3;
-  uint32_t parts = 0;  // as many as controllers
+  uint32_t partition_count = 0;  // as many as controllers
   int jobs = 25;
   Duration jobs_within = Seconds(60);
   Duration trouble_until = Seconds(90);
@@ -113,8 +113,9 @@
   void At(double second, std::function<void()> what) {
     After(Seconds(second), std::move(what));
   }
-  // Who owns the part by the state service; the owner of part 0 leads.
-  size_t OwnerOf(uint32_t part) const;
+  // Who owns the partition by the state service; the owner of partition 0
+  // leads.
+  size_t OwnerOf(uint32_t partition) const;
   struct Cut {
     bool state = false;
     bool workers = false;
@@ -316,8 +317,8 @@
   bool Disturbed(const FaultWindow& window);
   void KeepReport(const std::string& machine, const MakeCommand& report);
   void AwaitNextOwner(const std::string& machine, const MakeCommand& report,
-                      uint32_t part, uint64_t stamp);
-  uint64_t OwnerStamp(uint32_t part) const;
+                      uint32_t partition, uint64_t stamp);
+  uint64_t OwnerStamp(uint32_t partition) const;
   void AskEverybody(const std::string& id);
   void PollOnce(size_t index, const std::string& id);
   void SubmitOnce(size_t index, const std::string& id);
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -14,7 +14,7 @@
 TEST_P(Schedules, KeepTheRules) {
   WorldConfig config;
   config.seed = GetParam();
-  config.parts = GetParam() % 4;  // 0: as many as controllers
+  config.partition_count = GetParam() % 4;  // 0: as many as controllers
   World world(config);
   world.Run();
   EXPECT_TRUE(world.violations().empty()) << world.Told();
@@ -73,7 +73,7 @@
 
 // Two thousand machines under one controller, each full of tasks, which end all
 // at once: what has to be stored then is far more than a transaction takes, and
-// a part whose every draft is too large would stand still for ever.
+// a partition whose every draft is too large would stand still for ever.
 TEST(LargeFleet, ManyEndsAtOnceFitIntoTransactions) {
   WorldConfig config;
   config.nodes = 1;
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -35,7 +35,7 @@
 WorldConfig RandomConfig(uint64_t seed) {
   WorldConfig config;
   config.seed = seed;
-  config.parts = seed % 4;
+  config.partition_count = seed % 4;
   if (seed % 3 == 0) config.trouble_every = Seconds(3);
   if (seed % 2 == 0) {
     config.fleet_troubles = true;
@@ -71,7 +71,7 @@
 Schedule MixedVersions(uint64_t seed) {
   WorldConfig config;
   config.seed = seed;
-  config.parts = seed % 4;
+  config.partition_count = seed % 4;
   config.meeting_troubles = seed % 2 == 0;
   config.begins_with_production = true;
   config.next_value_kb = 2;
