--- a/src/core/context.h
+++ b/src/core/context.h
@@ -26,7 +26,7 @@
   TokenBucket& requests;     // to the state service
   TokenBucket& writes;       // puts and deletes there
   TokenBucket& cloud;        // calls to the cloud
-  std::string life;          // names this process among all that ever ran
+  std::string incarnation;   // names this process among all that ever ran
   uint32_t partition_count;  // how many there are
   RoomBook room;
   Vouchers vouchers;
--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -30,7 +30,7 @@
 }  // namespace
 
 Controller::Controller(Deployment deployment, Tuning tuning,
-                       const std::string& life)
+                       const std::string& incarnation)
     : deployment_(std::move(deployment)),
       tuning_(tuning),
       state_rates_(deployment_.StrictestStateLimits()),
@@ -47,14 +47,14 @@
           requests_,
           writes_,
           cloud_,
-          life,
+          incarnation,
           tuning_.partition_count > 0
               ? tuning_.partition_count
               : static_cast<uint32_t>(deployment_.peers.size() + 1),
           RoomBook(tuning_.partition_count > 0
                        ? tuning_.partition_count
                        : static_cast<uint32_t>(deployment_.peers.size() + 1)),
-          Vouchers(deployment_, deployment_.label, life),
+          Vouchers(deployment_, deployment_.label, incarnation),
           StateLimits(deployment_)},
       ownership_(context_),
       users_(context_) {}
@@ -85,8 +85,8 @@
 }
 
 // All partitions of this owner share its budget of writes. Whichever stepped
-// first would take each token as it comes and leave the others none, so the one
-// whose last write lies furthest back goes first.
+// first would take each token as it comes and leave the others none, so
+// the one whose last write lies furthest back goes first.
 void Controller::StepPartitions() {
   std::vector<Partition*> in_turn;
   for (auto& [number, partition] : partitions_)
@@ -112,18 +112,18 @@
   if (!follower_.loaded()) return;
   CompareWithStored();
   for (uint32_t number = 0; number < context_.partition_count; ++number) {
-    std::optional<uint64_t> token = ownership_.TokenOf(number);
+    std::optional<uint64_t> fencing_token = ownership_.FencingTokenOf(number);
     auto partition = partitions_.find(number);
     bool changed = partition == partitions_.end()
-                       ? token.has_value()
-                       : partition->second->token() != token;
+                       ? fencing_token.has_value()
+                       : partition->second->fencing_token() != fencing_token;
     if (!changed) continue;
     partitions_.erase(number);
     if (number == 0) fleet_.reset();
-    if (!token) continue;
-    partitions_.emplace(number,
-                        std::make_unique<Partition>(context_, number, *token));
-    if (number == 0) fleet_.emplace(context_, *token);
+    if (!fencing_token) continue;
+    partitions_.emplace(
+        number, std::make_unique<Partition>(context_, number, *fencing_token));
+    if (number == 0) fleet_.emplace(context_, *fencing_token);
   }
 }
 
@@ -201,7 +201,8 @@
   stray.partition = number;
   stray.last = now;
   const auto* stored = mirror_.FindPartition(number);
-  stray.lost_owner = stored != nullptr && command.report.token == stored->stamp;
+  stray.lost_owner =
+      stored != nullptr && command.report.fencing_token == stored->mod_revision;
   std::string owner = follower_.Fresh() ? ownership_.OwnerOf(number) : "";
   if (stray.lost_owner && StraysOf(number) >= kManyStrays) {
     // To send so many back would cost each another wait, and its lease. Going
@@ -229,10 +230,10 @@
     context_.told_cancelled.insert(id);
   }
   context_.vouchers.Hear(hello, now, follower_.known_at());
-  for (const auto& [number, token] : hello.tokens) {
+  for (const auto& [number, fencing_token] : hello.tokens) {
     auto partition = partitions_.find(number);
     if (partition != partitions_.end())
-      partition->second->HearOwner(hello.label, token);
+      partition->second->HearOwner(hello.label, fencing_token);
   }
 }
 
@@ -247,7 +248,7 @@
   next_hello_ = now + kHelloGap;
   PeerHello hello;
   hello.label = deployment_.label;
-  hello.life = context_.life;
+  hello.incarnation = context_.incarnation;
   hello.sent = out_.now().wall;
   hello.state_age = follower_.loaded() ? follower_.Age() : kNeverRead;
   // Smoothed over about two seconds.
@@ -281,7 +282,7 @@
   hello.revision = mirror_.revision();
   hello.mark = now;
   for (const auto& [number, partition] : partitions_) {
-    hello.tokens[number] = partition->token();
+    hello.tokens[number] = partition->fencing_token();
   }
   // One list serves all: what is new to the one who knows least. Who cannot be
   // served with the others gets no echo.
@@ -298,7 +299,7 @@
     if (!cancelled) break;
     hello.cancelled = std::move(*cancelled);
     hello.echoes.push_back(
-        {peer->hello.label, peer->hello.life, peer->hello.mark});
+        {peer->hello.label, peer->hello.incarnation, peer->hello.mark});
   }
 }
 
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -20,8 +20,9 @@
 
 class Controller {
  public:
-  // `life` must differ from that of every process that ever ran.
-  Controller(Deployment deployment, Tuning tuning, const std::string& life);
+  // `incarnation` must differ from that of every process that ever ran.
+  Controller(Deployment deployment, Tuning tuning,
+             const std::string& incarnation);
 
   // Works through a batch of commands at one moment and returns what is to be
   // done. A Tick should come at least every few tens of milliseconds.
@@ -85,8 +86,8 @@
     uint32_t partition = 0;
     SteadyTime first{};
     SteadyTime last{};
-    // It has seen the present owner's token, so it has been with it, and would
-    // still be there if it could.
+    // It has seen the present owner's fencing token, so it has been with it,
+    // and would still be there if it could.
     bool lost_owner = false;
   };
   std::map<std::string, Stray> strays_;
--- a/src/core/token_announcer.cc
+++ b/src/core/fencing_token_announcer.cc
@@ -1,4 +1,4 @@
-#include "core/token_announcer.h"
+#include "core/fencing_token_announcer.h"
 
 #include <utility>
 
@@ -18,23 +18,23 @@
 
 }  // namespace
 
-TokenAnnouncer::TokenAnnouncer(
-    Context& context, uint32_t partition, uint64_t token,
-    std::function<bool(const std::string&)> has_seen_token)
+FencingTokenAnnouncer::FencingTokenAnnouncer(
+    Context& context, uint32_t partition, uint64_t fencing_token,
+    std::function<bool(const std::string&)> has_seen_fencing_token)
     : context_(context),
       partition_(partition),
-      token_(token),
-      has_seen_token_(std::move(has_seen_token)),
+      fencing_token_(fencing_token),
+      has_seen_fencing_token_(std::move(has_seen_fencing_token)),
       next_page_(context.now() + kFirstPageAfter) {}
 
-void TokenAnnouncer::Step() {
+void FencingTokenAnnouncer::Step() {
   CallWaitingWorkers();
   FetchNextPage();
 }
 
-// One page at a time, each for a token of the cloud's rate: pages on credit
-// kept the leader from renting after restarts.
-void TokenAnnouncer::FetchNextPage() {
+// One page at a time, each for a token of the cloud's rate: pages on
+// credit kept the leader from renting after restarts.
+void FencingTokenAnnouncer::FetchNextPage() {
   SteadyTime now = context_.now();
   if (fetching_ || pages_asked_for_ >= kMostPages || now < next_page_) return;
   if (!context_.follower.Fresh() || !context_.cloud.Take(now, 1)) return;
@@ -47,7 +47,7 @@
       });
 }
 
-void TokenAnnouncer::OnPage(const CloudReply& reply) {
+void FencingTokenAnnouncer::OnPage(const CloudReply& reply) {
   for (const ListedMachine& listed : reply.listed) {
     bool mine =
         PartitionOf(listed.name, context_.partition_count) == partition_;
@@ -64,32 +64,35 @@
   next_page_ = context_.now() + kPageGap;
 }
 
-void TokenAnnouncer::CallWaitingWorkers() {
+void FencingTokenAnnouncer::CallWaitingWorkers() {
   while (inspecting_ < kMostInspections && !waiting_.empty()) {
     ListedMachine listed = std::move(waiting_.front());
     waiting_.pop_front();
-    if (!has_seen_token_(listed.name)) Inspect(listed);
+    if (!has_seen_fencing_token_(listed.name)) Inspect(listed);
   }
 }
 
-void TokenAnnouncer::Inspect(const ListedMachine& listed) {
+void FencingTokenAnnouncer::Inspect(const ListedMachine& listed) {
   ++inspecting_;
-  context_.out.CallWorker(listed.address, InspectWorker{}, kCommandTimeout,
-                          [this, listed, alive = std::weak_ptr<int>(alive_)](
-                              const WorkerReply& reply) {
-                            if (alive.expired()) return;
-                            --inspecting_;
-                            if (!reply.report || reply.report->token >= token_)
-                              return;
-                            SendToken(listed, reply.report->session);
-                          });
+  context_.out.CallWorker(
+      listed.address, InspectWorker{}, kCommandTimeout,
+      [this, listed,
+       alive = std::weak_ptr<int>(alive_)](const WorkerReply& reply) {
+        if (alive.expired()) return;
+        --inspecting_;
+        if (!reply.report || reply.report->fencing_token >= fencing_token_)
+          return;
+        SendFencingToken(listed, reply.report->agent_epoch);
+      });
 }
 
-void TokenAnnouncer::SendToken(const ListedMachine& listed, uint64_t session) {
+void FencingTokenAnnouncer::SendFencingToken(const ListedMachine& listed,
+                                             uint64_t agent_epoch) {
   context_.out.Log(LogLevel::kInfo,
                    "event=show_token partition={} machine={} token={}",
-                   partition_, listed.name, token_);
-  context_.out.CallWorker(listed.address, CommandWorker{token_, session, {}},
+                   partition_, listed.name, fencing_token_);
+  context_.out.CallWorker(listed.address,
+                          CommandWorker{fencing_token_, agent_epoch, {}},
                           kCommandTimeout, [](const WorkerReply&) {});
 }
 
--- a/src/core/token_announcer.h
+++ b/src/core/fencing_token_announcer.h
@@ -3,11 +3,11 @@
 //
 // Workers whose owner has ended look for another by themselves. But an earlier
 // owner that has lost the state service and not its workers goes on answering
-// them; only a higher token makes these look for the new owner. So the cloud is
-// asked for all machines, and each worker that has not been heard is inspected
-// and sent the token in a command without orders.
-#ifndef PITCHFALL_CORE_TOKEN_ANNOUNCER_H_
-#define PITCHFALL_CORE_TOKEN_ANNOUNCER_H_
+// them; only a higher fencing token makes these look for the new owner. So the
+// cloud is asked for all machines, and each worker that has not been heard is
+// inspected and sent the fencing token in a command without orders.
+#ifndef PITCHFALL_CORE_FENCING_TOKEN_ANNOUNCER_H_
+#define PITCHFALL_CORE_FENCING_TOKEN_ANNOUNCER_H_
 
 #include <cstdint>
 #include <deque>
@@ -21,12 +21,13 @@
 
 namespace pitchfall {
 
-class TokenAnnouncer {
+class FencingTokenAnnouncer {
  public:
-  // `has_seen_token` tells whether the machine of that name has shown the token
-  // already.
-  TokenAnnouncer(Context& context, uint32_t partition, uint64_t token,
-                 std::function<bool(const std::string&)> has_seen_token);
+  // `has_seen_fencing_token` tells whether the machine of that name has shown
+  // the fencing token already.
+  FencingTokenAnnouncer(
+      Context& context, uint32_t partition, uint64_t fencing_token,
+      std::function<bool(const std::string&)> has_seen_fencing_token);
 
   // Asks for the next page of machines and calls the next workers, as far as
   // the budgets allow.
@@ -37,12 +38,12 @@
   void OnPage(const CloudReply& reply);
   void CallWaitingWorkers();
   void Inspect(const ListedMachine& listed);
-  void SendToken(const ListedMachine& listed, uint64_t session);
+  void SendFencingToken(const ListedMachine& listed, uint64_t agent_epoch);
 
   Context& context_;
   const uint32_t partition_;
-  const uint64_t token_;
-  std::function<bool(const std::string&)> has_seen_token_;
+  const uint64_t fencing_token_;
+  std::function<bool(const std::string&)> has_seen_fencing_token_;
   // Replies that come after this object's end find it expired.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 
--- a/src/core/fleet.cc
+++ b/src/core/fleet.cc
@@ -44,16 +44,16 @@
   names.erase(end, names.end());
 }
 
-Fleet::Fleet(Context& context, uint64_t token)
-    : context_(context), token_(token) {
-  context_.out.Log(LogLevel::kInfo, "event=leading token={}", token);
+Fleet::Fleet(Context& context, uint64_t fencing_token)
+    : context_(context), fencing_token_(fencing_token) {
+  context_.out.Log(LogLevel::kInfo, "event=leading token={}", fencing_token);
 }
 
 void Fleet::Store(Transaction txn, Outbox::StateHandler handler) {
   SteadyTime now = context_.now();
   context_.writes.Take(now, static_cast<double>(txn.writes.size()), -1e9);
   context_.requests.Take(now, 1, -1e9);
-  txn.conditions.push_back({keys::Partition(0), token_});
+  txn.conditions.push_back({keys::Partition(0), fencing_token_});
   storing_ = true;
   context_.out.CallState(
       std::move(txn), context_.tuning.state_timeout,
@@ -106,7 +106,7 @@
     return;
   }
   Transaction txn;
-  txn.conditions.push_back({keys::kTypes, stored ? stored->stamp : 0});
+  txn.conditions.push_back({keys::kTypes, stored ? stored->mod_revision : 0});
   txn.writes.push_back({keys::kTypes, std::move(types), 0});
   Store(std::move(txn), [this](const StateReply& reply) {
     if (reply.status != 200) next_types_ = context_.now() + Millis(1000);
@@ -496,7 +496,7 @@
     record.asked = context_.out.now().wall;
     next->second -= static_cast<int>(record.count);
     if (next->second <= 0) order.erase(next);
-    std::string name = fmt::format("r-{}-{}", token_, ++rentals_made_);
+    std::string name = fmt::format("r-{}-{}", fencing_token_, ++rentals_made_);
     context_.out.Log(LogLevel::kInfo,
                      "event=rent name={} type={} zone={} spot={} count={} "
                      "target={} have={} reason={}",
@@ -649,7 +649,7 @@
   // What does not fit into one value goes next time.
   KeepWithin(machines, context_.state_limits.ValueBytes());
   Transaction txn;
-  txn.conditions.push_back({keys::kDrain, stored ? stored->stamp : 0});
+  txn.conditions.push_back({keys::kDrain, stored ? stored->mod_revision : 0});
   txn.writes.push_back({keys::kDrain, DrainRecord{std::move(machines)}, 0});
   Store(std::move(txn), [](const StateReply&) {});
 }
@@ -686,7 +686,7 @@
     }
     if (all_listed && !storing_ && deleting_.insert(name).second) {
       Transaction txn;
-      txn.conditions.push_back({keys::Rental(name), rental.stamp});
+      txn.conditions.push_back({keys::Rental(name), rental.mod_revision});
       txn.writes.push_back({keys::Rental(name), {}, 0});
       Store(std::move(txn), [this, rental_name = name](const StateReply&) {
         deleting_.erase(rental_name);
@@ -723,7 +723,8 @@
         }
         if (!over && reply.status != 200) return;  // sent again later
         Transaction txn;
-        txn.conditions.push_back({keys::Rental(name), stored->second.stamp});
+        txn.conditions.push_back(
+            {keys::Rental(name), stored->second.mod_revision});
         Write write{keys::Rental(name), {}, 0};
         if (!over) {
           RentalRecord answered = record;
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -23,7 +23,7 @@
 
 class Fleet {
  public:
-  Fleet(Context& context, uint64_t token);
+  Fleet(Context& context, uint64_t fencing_token);
 
   void Step();
 
@@ -92,7 +92,7 @@
 
   Context& context_;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
-  const uint64_t token_;
+  const uint64_t fencing_token_;
   uint32_t rentals_made_ = 0;
   std::map<std::string, Known> machines_;
   std::map<Offer, SteadyTime> refused_until_;
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -17,13 +17,13 @@
   struct Chunk {
     ChunkRecord record;
     // Of the segment that holds this version, and where that lies.
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     uint32_t partition = 0;
     uint32_t slot = 0;
   };
 
   JobRecord record;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   std::map<uint32_t, Chunk> chunks;
 
   // Derived from the chunks.
--- a/src/core/machines.cc
+++ b/src/core/machines.cc
@@ -5,8 +5,8 @@
 namespace pitchfall {
 namespace {
 
-const ReportedTask* FindTry(const WorkerReport& report, const TaskKey& key,
-                            uint32_t attempt) {
+const ReportedTask* FindAttempt(const WorkerReport& report, const TaskKey& key,
+                                uint32_t attempt) {
   for (const ReportedTask& task : report.tasks) {
     if (task.task == key.second && task.attempt == attempt &&
         task.job == key.first) {
@@ -37,11 +37,12 @@
 }  // namespace
 
 Verdict Judge(const Machine& machine, const TaskKey& key, const HeldTask& task,
-              uint64_t token, bool wanted) {
+              uint64_t fencing_token, bool wanted) {
   if (machine.gone) return Verdict::kGone;
-  if (!machine.report || machine.report->token < token) return Verdict::kHeld;
+  if (!machine.report || machine.report->fencing_token < fencing_token)
+    return Verdict::kHeld;
   const WorkerReport& report = *machine.report;
-  const ReportedTask* found = FindTry(report, key, task.attempt);
+  const ReportedTask* found = FindAttempt(report, key, task.attempt);
   if (found != nullptr) {
     if (found->state != TaskState::kExited) return Verdict::kHeld;
     switch (found->cause) {
@@ -58,12 +59,12 @@
         return Verdict::kGone;
     }
   }
-  // An earlier owner's start can have run in an earlier session, and this
-  // owner's too: never start the same try again then.
+  // An earlier owner's start can have run in an earlier agent epoch, and this
+  // owner's too: never start the same attempt again then.
   if (task.inherited || task.seen) return Verdict::kGone;
   if (!task.start_sent) return wanted ? Verdict::kHeld : Verdict::kGone;
-  if (task.start_sent->first != report.session) return Verdict::kGone;
-  if (*task.start_sent >= std::pair(report.session, report.seq)) {
+  if (task.start_sent->first != report.agent_epoch) return Verdict::kGone;
+  if (*task.start_sent >= std::pair(report.agent_epoch, report.seq)) {
     return Verdict::kHeld;
   }
   return wanted ? Verdict::kHeld : Verdict::kGone;
@@ -116,11 +117,12 @@
     for (auto& [key, task] : machine.held) {
       if (task.inherited || task.seen || task.ending || task.stop() ||
           !policy.wanted(task) ||
-          FindTry(report, key, task.attempt) != nullptr) {
+          FindAttempt(report, key, task.attempt) != nullptr) {
         continue;
       }
-      if (task.start_sent && task.start_sent->first != report.session) continue;
-      task.start_sent = std::pair(report.session, report.seq);
+      if (task.start_sent && task.start_sent->first != report.agent_epoch)
+        continue;
+      task.start_sent = std::pair(report.agent_epoch, report.seq);
       starts.push_back(
           {Order::Op::kStart, key.first, key.second, task.attempt, {}});
     }
--- a/src/core/machines.h
+++ b/src/core/machines.h
@@ -60,10 +60,10 @@
 
   std::optional<WorkerReport> report;  // the newest
   SteadyTime heard{};
-  // Since when the worker is known to have seen my token, and the last answer
-  // it can have taken since. Without the former nothing follows from silence:
-  // an earlier owner may still answer.
-  bool token_seen = false;
+  // Since when the worker is known to have seen my fencing token, and the last
+  // answer it can have taken since. Without the former nothing follows from
+  // silence: an earlier owner may still answer.
+  bool fencing_token_seen = false;
   SteadyTime last_answer{};
   RequestId waiting = 0;  // the request to answer
   // Until its next report, as far as can be expected: starts travel in answers.
@@ -71,12 +71,13 @@
   SteadyTime waiting_since{};
 
   // Since when it has shown no sign of hearing answers, although it should
-  // have: no token, starts that are not carried out, sessions that end.
+  // have: no fencing token, starts that are not carried out, agent epochs that
+  // end.
   std::optional<SteadyTime> doubtful_since;
-  SteadyTime session_since{};  // when its session was first heard of
-  int answers = 0;             // in this session
-  // A session has ended although its reports were answered.
-  bool lost_session = false;
+  SteadyTime agent_epoch_since{};  // when its agent epoch was first heard of
+  int answers = 0;                 // in this agent epoch
+  // A agent epoch has ended although its reports were answered.
+  bool epoch_ended_while_answered = false;
   // Heard for the first time or after a silence: that may be a copy of a report
   // that was held back on the way. The next report tells.
   bool back = true;
@@ -107,8 +108,9 @@
 
   Resources Free() const { return capacity - used - stray_use - planned; }
   bool TakesTasks(SteadyTime now) const {
-    return report && token_seen && !drain && !sick && !deleting && !gone &&
-           !taken_at && !doubtful_since && !back && now >= paused_until;
+    return report && fencing_token_seen && !drain && !sick && !deleting &&
+           !gone && !taken_at && !doubtful_since && !back &&
+           now >= paused_until;
   }
 };
 
@@ -117,7 +119,7 @@
   kHeld,     // there, or on its way
   kDone,     // completed
   kFailed,   // ended with an error
-  kRefused,  // the worker had no room, or another try of the task
+  kRefused,  // the worker had no room, or another attempt of the task
   kGone,     // stopped, lost, or never started and not to be started
 };
 
@@ -125,13 +127,14 @@
 // task should not be started any more.
 //
 // A task that the report lacks is gone only if the worker had seen this owner's
-// token when it sent the report (no answer of an earlier owner can start it any
-// more) and the report is newer than the one whose answer carried the start.
+// fencing token when it sent the report (no answer of an earlier owner can
+// start it any more) and the report is newer than the one whose answer carried
+// the start.
 Verdict Judge(const Machine& machine, const TaskKey& key, const HeldTask& task,
-              uint64_t token, bool wanted);
+              uint64_t fencing_token, bool wanted);
 
 struct OrderPolicy {
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
   bool may_start = false;
   SteadyTime now{};
   // Whether a held task should be running.
@@ -142,7 +145,7 @@
 std::vector<Order> MakeOrders(Machine& machine, const OrderPolicy& policy);
 
 // Stops that need not wait for the next report, to be sent directly. Only
-// stops: a late copy of one does nothing, as tries are never used again.
+// stops: a late copy of one does nothing, as attempts are never used again.
 std::vector<Order> MakeDirectStops(Machine& machine, const OrderPolicy& policy);
 
 }  // namespace pitchfall
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -47,9 +47,9 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t session = 0;
+  uint64_t agent_epoch = 0;
   uint64_t seq = 0;
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
   std::optional<Duration> notice;
   std::vector<ReportedTask> tasks;
 };
@@ -64,7 +64,7 @@
 };
 
 struct Orders {
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
   std::vector<Order> orders;
 };
 
@@ -72,7 +72,7 @@
 
 struct Condition {
   std::string key;
-  uint64_t stamp = 0;  // 0: the key does not exist
+  uint64_t mod_revision = 0;  // 0: the key does not exist
 };
 
 struct Write {
@@ -105,7 +105,7 @@
 struct Change {
   std::string key;
   std::optional<Record> value;  // none: deleted
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   // Not written by this version of pitchfall. Such a change is passed over, so
   // that writes that would build on it fail.
   bool unreadable = false;
@@ -165,8 +165,8 @@
 // ---- Workers, called directly ----
 
 struct CommandWorker {
-  uint64_t token = 0;
-  uint64_t session = 0;
+  uint64_t fencing_token = 0;
+  uint64_t agent_epoch = 0;
   std::vector<Order> orders;
 };
 struct InspectWorker {};
@@ -181,7 +181,7 @@
 
 struct PeerHello {
   std::string label;
-  std::string life;
+  std::string incarnation;
   WallTime sent;
   Duration state_age{0};  // since this controller last read the state
   // Per partition: workers that came here in the last seconds because they
@@ -201,7 +201,7 @@
   // The newest mark heard from each controller for which `cancelled` is whole.
   struct Echo {
     std::string label;
-    std::string life;
+    std::string incarnation;
     SteadyTime mark{};
   };
   std::vector<Echo> echoes;
--- a/src/core/mirror.cc
+++ b/src/core/mirror.cc
@@ -22,10 +22,11 @@
 void Mirror::ApplyTo(Table<T>& table, const std::string& name,
                      const Change& change) {
   auto it = table.find(name);
-  if (it != table.end() && it->second.stamp >= change.stamp) return;
+  if (it != table.end() && it->second.mod_revision >= change.mod_revision)
+    return;
   const T* value = change.value ? std::get_if<T>(&*change.value) : nullptr;
   if (value != nullptr) {
-    table.insert_or_assign(name, Versioned<T>{*value, change.stamp});
+    table.insert_or_assign(name, Versioned<T>{*value, change.mod_revision});
   } else if (it != table.end()) {
     table.erase(it);
   }
@@ -33,19 +34,20 @@
 
 template <typename T>
 void Mirror::ApplyTo(std::optional<Versioned<T>>& slot, const Change& change) {
-  if (slot && slot->stamp >= change.stamp) return;
+  if (slot && slot->mod_revision >= change.mod_revision) return;
   const T* value = change.value ? std::get_if<T>(&*change.value) : nullptr;
   slot.reset();
-  if (value != nullptr) slot = Versioned<T>{*value, change.stamp};
+  if (value != nullptr) slot = Versioned<T>{*value, change.mod_revision};
 }
 
 void Mirror::Apply(const Change& change) {
   // What a reading up to `revision_` has shown cannot be news, and could bring
   // back a key that has been deleted since.
-  if (change.stamp <= revision_ || change.unreadable) return;
+  if (change.mod_revision <= revision_ || change.unreadable) return;
   auto buried = tombstones_.find(change.key);
-  if (buried != tombstones_.end() && buried->second >= change.stamp) return;
-  if (!change.value) tombstones_[change.key] = change.stamp;
+  if (buried != tombstones_.end() && buried->second >= change.mod_revision)
+    return;
+  if (!change.value) tombstones_[change.key] = change.mod_revision;
   std::string_view rest = change.key;
   if (TakePrefix(rest, keys::kJobs)) {
     ApplyJob(std::string(rest), change);
@@ -88,12 +90,12 @@
       change.value ? std::get_if<JobRecord>(&*change.value) : nullptr;
   if (record == nullptr) return;  // job records are never deleted
   auto& slot = jobs_[id];
-  if (slot && slot->stamp >= change.stamp) return;
+  if (slot && slot->mod_revision >= change.mod_revision) return;
   if (!slot) slot = std::make_unique<Job>();
   slot->record = *record;
-  slot->stamp = change.stamp;
+  slot->mod_revision = change.mod_revision;
   if (record->state == JobState::kCancelled) {
-    cancellations_.insert({change.stamp, id});
+    cancellations_.insert({change.mod_revision, id});
     if (cancellations_.size() > kMostCancellations) {
       cancellations_from_ = cancellations_.begin()->first;
       cancellations_.erase(cancellations_.begin());
@@ -132,15 +134,15 @@
       change.value ? std::get_if<SegmentRecord>(&*change.value) : nullptr;
   Segment& segment = segments_[{partition, slot}];
   // The same again may name jobs that were unknown the first time.
-  if (record == nullptr || segment.stamp > change.stamp) return;
-  segment.stamp = change.stamp;
+  if (record == nullptr || segment.mod_revision > change.mod_revision) return;
+  segment.mod_revision = change.mod_revision;
   segment.chunks.clear();
   for (const SegmentRecord::Entry& entry : record->entries) {
     auto job = jobs_.find(entry.job);
     if (job == jobs_.end()) continue;
     segment.chunks.push_back({entry.job, entry.chunk});
     SetChunk(*job->second, entry.chunk,
-             {entry.record, change.stamp, partition, slot});
+             {entry.record, change.mod_revision, partition, slot});
   }
 }
 
@@ -148,7 +150,7 @@
 // whenever the old owner copies its last version forward.
 void Mirror::SetChunk(Job& job, uint32_t chunk, Job::Chunk version) {
   auto order = [](const Job::Chunk& c) {
-    return std::pair(c.record.epoch, c.stamp);
+    return std::pair(c.record.epoch, c.mod_revision);
   };
   // Replicas are never done, whatever an earlier version has noted.
   if (job.spec().shape == Shape::kService) version.record.done.clear();
@@ -158,7 +160,7 @@
   if (!is_new && slot.partition == version.partition &&
       slot.record == version.record) {
     // Copied forward.
-    slot.stamp = version.stamp;
+    slot.mod_revision = version.mod_revision;
     slot.slot = version.slot;
     return;
   }
@@ -198,7 +200,7 @@
 void Mirror::Settle() {
   std::erase_if(closing_, [this](Job* job) {
     for (const auto& [number, chunk] : job->chunks) {
-      if (chunk.stamp > revision_) return false;
+      if (chunk.mod_revision > revision_) return false;
     }
     for (const auto& [number, chunk] : job->chunks) CountLive(chunk, -1);
     job->chunks.clear();
@@ -285,7 +287,7 @@
 }
 
 bool Mirror::NodeAlive(const PartitionRecord& owner) const {
-  return nodes_.contains(owner.label + "." + owner.life);
+  return nodes_.contains(owner.label + "." + owner.incarnation);
 }
 
 bool Mirror::AllNodesSupport(uint32_t version) const {
--- a/src/core/mirror.h
+++ b/src/core/mirror.h
@@ -33,13 +33,13 @@
   template <typename T>
   struct Versioned {
     T value;
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
   };
   template <typename T>
   using Table = std::map<std::string, Versioned<T>>;
   using ChunkKey = std::pair<std::string, uint32_t>;  // job, chunk
   struct Segment {
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     std::vector<ChunkKey> chunks;
   };
 
@@ -116,7 +116,8 @@
   std::map<std::string, Job*> open_jobs_;
   // Jobs that are over with nothing bound, of which older news may still come.
   std::set<Job*> closing_;
-  // The newest cancellations by stamp, and up to where older ones are left out.
+  // The newest cancellations by modification revision, and up to where older
+  // ones are left out.
   std::set<std::pair<uint64_t, std::string>> cancellations_;
   uint64_t cancellations_from_ = 0;
   std::map<std::pair<uint32_t, uint32_t>, Segment>
--- a/src/core/ownership.cc
+++ b/src/core/ownership.cc
@@ -52,7 +52,7 @@
 
 void Ownership::Register() {
   const auto& nodes = context_.mirror.nodes();
-  if (nodes.contains(context_.deployment.label + "." + context_.life)) {
+  if (nodes.contains(context_.deployment.label + "." + context_.incarnation)) {
     if (!registered_at_) registered_at_ = context_.now();
     return;
   }
@@ -64,10 +64,10 @@
   registering_ = true;
   Transaction txn;
   txn.conditions.push_back({MyKey(), 0});
-  txn.writes.push_back(
-      {MyKey(),
-       NodeRecord{context_.deployment.label, context_.life, kThisVersion},
-       lease_});
+  txn.writes.push_back({MyKey(),
+                        NodeRecord{context_.deployment.label,
+                                   context_.incarnation, kThisVersion},
+                        lease_});
   context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
                          [this](const StateReply& reply) {
                            registering_ = false;
@@ -92,7 +92,8 @@
   const Mirror::Versioned<NodeRecord>* newest = nullptr;
   for (const auto& [key, node] : context_.mirror.nodes()) {
     if (node.value.label != label) continue;
-    if (newest == nullptr || node.stamp > newest->stamp) newest = &node;
+    if (newest == nullptr || node.mod_revision > newest->mod_revision)
+      newest = &node;
   }
   return newest;
 }
@@ -121,8 +122,8 @@
     uint32_t partition,
     const Mirror::Versioned<PartitionRecord>* current) const {
   const std::string& me = context_.deployment.label;
-  // An earlier life of this process is certainly dead: only one process can
-  // hold this controller's addresses.
+  // An earlier incarnation of this process is certainly dead: only one process
+  // can hold this controller's addresses.
   if (current != nullptr && current->value.label == me) return Duration(0);
   if (IdealOwner(partition) == me) return Duration(0);
   // At the very start the others may be up within moments.
@@ -135,11 +136,12 @@
   const std::string& me = context_.deployment.label;
   Vacancy& vacancy = vacancies_[partition];
   SteadyTime now = context_.now();
-  bool mine = current != nullptr && current->value.life == context_.life;
+  bool mine =
+      current != nullptr && current->value.incarnation == context_.incarnation;
   if (mine) {
     vacancy.since.reset();
-    if (vacancy.mine_stamp != current->stamp) {
-      vacancy.mine_stamp = current->stamp;
+    if (vacancy.my_mod_revision != current->mod_revision) {
+      vacancy.my_mod_revision = current->mod_revision;
       vacancy.mine_since = now;
     }
     std::string ideal = IdealOwner(partition);
@@ -152,8 +154,9 @@
     }
     return;
   }
-  bool old_life_of_mine = current != nullptr && current->value.label == me;
-  bool vacant = current == nullptr || old_life_of_mine ||
+  bool my_earlier_incarnation =
+      current != nullptr && current->value.label == me;
+  bool vacant = current == nullptr || my_earlier_incarnation ||
                 !context_.mirror.NodeAlive(current->value);
   if (!vacant || !registered_at_) {
     vacancy.since.reset();
@@ -173,14 +176,14 @@
   context_.requests.Take(now, 1, -1e9);
   const std::string& me = context_.deployment.label;
   Transaction txn;
-  txn.conditions.push_back(
-      {keys::Partition(partition), current == nullptr ? 0 : current->stamp});
+  txn.conditions.push_back({keys::Partition(partition),
+                            current == nullptr ? 0 : current->mod_revision});
   if (current != nullptr && current->value.label != me) {
     txn.conditions.push_back(
-        {keys::Node(current->value.label, current->value.life), 0});
+        {keys::Node(current->value.label, current->value.incarnation), 0});
   }
   txn.writes.push_back(
-      {keys::Partition(partition), PartitionRecord{me, context_.life}});
+      {keys::Partition(partition), PartitionRecord{me, context_.incarnation}});
   vacancies_[partition].asking = true;
   context_.out.Log(LogLevel::kInfo, "event=takeover_asked partition={} from={}",
                    partition,
@@ -201,16 +204,18 @@
       context_.mirror.FindPartition(partition);
   const Mirror::Versioned<NodeRecord>* node = FindNode(label);
   Vacancy& vacancy = vacancies_[partition];
-  if (current == nullptr || current->value.life != context_.life) return;
+  if (current == nullptr || current->value.incarnation != context_.incarnation)
+    return;
   if (node == nullptr || vacancy.asking) return;
   SteadyTime now = context_.now();
   if (!context_.writes.Take(now, 1) || !context_.requests.Take(now, 1)) return;
   Transaction txn;
-  txn.conditions.push_back({keys::Partition(partition), current->stamp});
-  txn.conditions.push_back({keys::Node(label, node->value.life), node->stamp});
+  txn.conditions.push_back({keys::Partition(partition), current->mod_revision});
+  txn.conditions.push_back(
+      {keys::Node(label, node->value.incarnation), node->mod_revision});
   txn.writes.push_back(
       {keys::Partition(partition),
-       PartitionRecord{label, node->value.life,
+       PartitionRecord{label, node->value.incarnation,
                        unreachable ? context_.deployment.label : ""}});
   vacancy.asking = true;
   context_.out.Log(LogLevel::kInfo,
@@ -224,11 +229,12 @@
                          });
 }
 
-std::optional<uint64_t> Ownership::TokenOf(uint32_t partition) const {
+std::optional<uint64_t> Ownership::FencingTokenOf(uint32_t partition) const {
   const Mirror::Versioned<PartitionRecord>* current =
       context_.mirror.FindPartition(partition);
-  if (current == nullptr || current->value.life != context_.life) return {};
-  return current->stamp;
+  if (current == nullptr || current->value.incarnation != context_.incarnation)
+    return {};
+  return current->mod_revision;
 }
 
 std::string Ownership::OwnerOf(uint32_t partition) const {
--- a/src/core/ownership.h
+++ b/src/core/ownership.h
@@ -2,9 +2,9 @@
 // taking over partitions whose owner has gone, handing partitions back to the
 // controller whose turn it is.
 //
-// Who owns a partition is read from the mirror alone. The stamp of a
-// partition's key is its token: it rises with every change of owner, and every
-// write of an owner depends on it.
+// Who owns a partition is read from the mirror alone. The modification revision
+// of a partition's key is its fencing token: it rises with every change of
+// owner, and every write of an owner depends on it.
 #ifndef PITCHFALL_CORE_OWNERSHIP_H_
 #define PITCHFALL_CORE_OWNERSHIP_H_
 
@@ -24,8 +24,8 @@
 
   void Step();
 
-  // The partition's token if this process owns it.
-  std::optional<uint64_t> TokenOf(uint32_t partition) const;
+  // The partition's fencing token if this process owns it.
+  std::optional<uint64_t> FencingTokenOf(uint32_t partition) const;
   // The label of the live owner; empty if none is known.
   std::string OwnerOf(uint32_t partition) const;
   // Gives a partition to another controller, for instance to one that its
@@ -36,7 +36,7 @@
   struct Vacancy {
     std::optional<SteadyTime> since;
     bool asking = false;
-    uint64_t mine_stamp = 0;
+    uint64_t my_mod_revision = 0;
     SteadyTime mine_since{};
   };
 
@@ -53,7 +53,7 @@
   std::string IdealOwner(uint32_t partition) const;
   const Mirror::Versioned<NodeRecord>* FindNode(const std::string& label) const;
   std::string MyKey() const {
-    return keys::Node(context_.deployment.label, context_.life);
+    return keys::Node(context_.deployment.label, context_.incarnation);
   }
 
   Context& context_;
--- a/src/core/partition.cc
+++ b/src/core/partition.cc
@@ -45,19 +45,20 @@
 
 }  // namespace
 
-Partition::Partition(Context& context, uint32_t number, uint64_t token)
+Partition::Partition(Context& context, uint32_t number, uint64_t fencing_token)
     : context_(context),
       number_(number),
-      token_(token),
+      fencing_token_(fencing_token),
       owned_since_(context.now()),
       last_heard_(context.now()),
       last_write_(context.now()),
       quota_(context, number),
       displacer_(context.out),
-      announcer_(context, number, token, [this](const std::string& machine) {
-        auto known = machines_.find(machine);
-        return known != machines_.end() && known->second.token_seen;
-      }) {
+      announcer_(
+          context, number, fencing_token, [this](const std::string& machine) {
+            auto known = machines_.find(machine);
+            return known != machines_.end() && known->second.fencing_token_seen;
+          }) {
   for (const auto& [id, job] : context_.mirror.open_jobs()) {
     for (const auto& [chunk, entry] : job->chunks) {
       OnChunk(*job, chunk, nullptr, &entry);
@@ -67,7 +68,7 @@
   context_.mirror.AddListener(this);
   context_.out.Log(LogLevel::kInfo,
                    "event=partition_acquired partition={} token={}", number_,
-                   token_);
+                   fencing_token_);
 }
 
 Partition::~Partition() {
@@ -75,7 +76,7 @@
   for (auto& [name, machine] : machines_) RefuseReport(machine);
   context_.out.Log(LogLevel::kInfo,
                    "event=partition_released partition={} token={}", number_,
-                   token_);
+                   fencing_token_);
 }
 
 Machine& Partition::GetMachine(const std::string& name) {
@@ -130,17 +131,17 @@
   Duration limit = d.cancel - WithDrift(d.worker_lease) - kCancelMargin;
   SteadyTime known_until = context_.vouchers.KnownUntil(
       context_.follower.known_at(), context_.now());
-  return !superseded_ && context_.now() - known_until < limit;
+  return !deposed_ && context_.now() - known_until < limit;
 }
 
-void Partition::HearOwner(const std::string& label, uint64_t token) {
-  if (token <= token_) return;
-  if (!superseded_) {
+void Partition::HearOwner(const std::string& label, uint64_t fencing_token) {
+  if (fencing_token <= fencing_token_) return;
+  if (!deposed_) {
     context_.out.Log(LogLevel::kInfo,
                      "event=superseded partition={} by={} token={}", number_,
-                     label, token);
+                     label, fencing_token);
   }
-  superseded_ = true;
+  deposed_ = true;
   successor_ = label;
   context_.follower.Want();
 }
@@ -153,9 +154,9 @@
 
 void Partition::CheckIn(RequestId request, const WorkerReport& report) {
   SteadyTime now = context_.now();
-  if (report.token > token_) {
+  if (report.fencing_token > fencing_token_) {
     // Somebody else owns the partition: nothing of mine counts any more.
-    superseded_ = true;
+    deposed_ = true;
     context_.follower.Want();
   }
   if (!successor_.empty()) {
@@ -177,7 +178,7 @@
         LogLevel::kInfo,
         "event=worker_joined partition={} machine={} spot={} zone={} "
         "session={}",
-        number_, report.machine, report.spot, report.zone, report.session);
+        number_, report.machine, report.spot, report.zone, report.agent_epoch);
   }
   Duration silence = 3 * context_.deployment.report + Millis(1000);
   machine.back = !machine.report || now - machine.heard > silence;
@@ -188,8 +189,8 @@
   machine.gone = false;
   machine.waiting = request;
   machine.waiting_since = now;
-  if (report.token == token_ && !machine.token_seen) {
-    machine.token_seen = true;
+  if (report.fencing_token == fencing_token_ && !machine.fencing_token_seen) {
+    machine.fencing_token_seen = true;
     machine.last_answer = now;
   }
   UpdateMachine(machine);
@@ -205,41 +206,42 @@
   if (found == machines_.end() || !found->second.report) return false;
   const Machine& machine = found->second;
   const WorkerReport& newest = *machine.report;
-  // Its lease has run out: the worker's next report is of a later session.
-  if (machine.gone && report.session <= newest.session) return true;
-  return std::pair(report.session, report.seq) <=
-         std::pair(newest.session, newest.seq);
+  // Its lease has run out: the worker's next report is of a later agent epoch.
+  if (machine.gone && report.agent_epoch <= newest.agent_epoch) return true;
+  return std::pair(report.agent_epoch, report.seq) <=
+         std::pair(newest.agent_epoch, newest.seq);
 }
 
 // A machine may report and yet hear nothing. That is not seen from any one
-// report, since answers get lost; but one that hears takes the token, carries
-// starts out, and stays in its session as long as it is answered.
+// report, since answers get lost; but one that hears takes the fencing token,
+// carries starts out, and stays in its agent epoch as long as it is answered.
 void Partition::WeighHearing(Machine& machine,
                              const std::optional<WorkerReport>& before) {
   SteadyTime now = context_.now();
   const WorkerReport& report = *machine.report;
   Duration lease = WithDrift(context_.deployment.worker_lease);
-  if (!before || before->session != report.session) {
+  if (!before || before->agent_epoch != report.agent_epoch) {
     if (machine.answers >= 3 && now - machine.last_answer < lease) {
-      machine.lost_session = true;
+      machine.epoch_ended_while_answered = true;
       if (!machine.doubtful_since) machine.doubtful_since = now;
     }
-    machine.session_since = now;
+    machine.agent_epoch_since = now;
     machine.answers = 0;
   }
-  bool unheeded = !machine.token_seen && machine.last_answer != SteadyTime{};
+  bool unheeded =
+      !machine.fencing_token_seen && machine.last_answer != SteadyTime{};
   for (const auto& [key, task] : machine.held) {
     unheeded |= task.start_sent && !task.seen &&
-                task.start_sent->first == report.session &&
+                task.start_sent->first == report.agent_epoch &&
                 task.start_sent->second < report.seq;
   }
   bool stays =
-      now - machine.session_since > lease + 2 * context_.deployment.report;
+      now - machine.agent_epoch_since > lease + 2 * context_.deployment.report;
   if (unheeded) {
     if (!machine.doubtful_since) machine.doubtful_since = now;
-  } else if (stays || !machine.lost_session) {
+  } else if (stays || !machine.epoch_ended_while_answered) {
     machine.doubtful_since.reset();
-    machine.lost_session = false;
+    machine.epoch_ended_while_answered = false;
   }
 }
 
@@ -329,9 +331,9 @@
 
 OrderPolicy Partition::Policy(const Machine& machine) const {
   OrderPolicy policy;
-  policy.token = token_;
+  policy.fencing_token = fencing_token_;
   policy.now = context_.now();
-  policy.may_start = context_.follower.Fresh() && machine.token_seen &&
+  policy.may_start = context_.follower.Fresh() && machine.fencing_token_seen &&
                      machine.TakesTasks(context_.now());
   policy.wanted = [this](const HeldTask& task) { return Wanted(task); };
   return policy;
@@ -339,7 +341,7 @@
 
 void Partition::SendStops() {
   for (auto& [name, machine] : machines_) {
-    if (!machine.token_seen || machine.waiting != 0 || machine.gone ||
+    if (!machine.fencing_token_seen || machine.waiting != 0 || machine.gone ||
         machine.address.empty() || context_.now() < machine.next_stop) {
       continue;
     }
@@ -352,7 +354,8 @@
     };
     context_.out.CallWorker(
         machine.address,
-        CommandWorker{token_, machine.report->session, std::move(stops)},
+        CommandWorker{fencing_token_, machine.report->agent_epoch,
+                      std::move(stops)},
         kCommandTimeout, std::move(handler));
   }
 }
@@ -363,7 +366,8 @@
 void Partition::OnStopped(const std::string& name,
                           const std::vector<Order>& stops,
                           const WorkerReply& reply) {
-  if (reply.report && reply.report->token > token_) superseded_ = true;
+  if (reply.report && reply.report->fencing_token > fencing_token_)
+    deposed_ = true;
   if (reply.status == 200) return;
   auto machine = machines_.find(name);
   if (machine == machines_.end()) return;
@@ -381,7 +385,7 @@
     RefuseReport(machine);
     return;
   }
-  Orders orders{token_, MakeOrders(machine, Policy(machine))};
+  Orders orders{fencing_token_, MakeOrders(machine, Policy(machine))};
   context_.out.Answer(machine.waiting, 200, std::move(orders));
   machine.waiting = 0;
   machine.last_answer = context_.now();
@@ -420,7 +424,7 @@
     return;
   }
   if (outcome_unknown_) {
-    RaiseFence();
+    AdvanceWriteFence();
     return;
   }
   Plan();
@@ -447,14 +451,15 @@
     bool lease_over =
         answered && machine.waiting == 0 && now - machine.last_answer > lease;
     bool unheard = !machine.report && !machine.held.empty();
-    bool lost = machine.token_seen ? lease_over
-                                   : former_over && (unheard || lease_over);
+    bool lost = machine.fencing_token_seen
+                    ? lease_over
+                    : former_over && (unheard || lease_over);
     if (!machine.gone && lost) {
       machine.gone = true;
       dirty_ = true;
       context_.out.Log(
           LogLevel::kWarning, "event=worker_lost machine={} proof={} tasks={}",
-          machine.name, machine.token_seen ? "lease" : "former_owner",
+          machine.name, machine.fencing_token_seen ? "lease" : "former_owner",
           machine.held.size());
     }
     if (machine.drain || machine.sick || machine.taken_at) {
@@ -640,7 +645,7 @@
       bool wanted = Wanted(task) && !task.stop() && open;
       // Whatever was drafted before is not stored, or the mirror would show it.
       task.ending = false;
-      Verdict verdict = Judge(machine, key, task, token_, wanted);
+      Verdict verdict = Judge(machine, key, task, fencing_token_, wanted);
       if (verdict == Verdict::kHeld) continue;
       ChunkKey chunk{key.first, task.job->chunk_of(key.second)};
       ends[chunk].push_back({&machine, &task, key.second, verdict});
@@ -1088,15 +1093,17 @@
     bytes += size;
     txn.writes.push_back({std::move(key), std::move(record), 0});
   };
-  txn.conditions.push_back({keys::Partition(number_), token_});
-  txn.conditions.push_back({keys::Fence(number_, token_), fence_});
+  txn.conditions.push_back({keys::Partition(number_), fencing_token_});
+  txn.conditions.push_back(
+      {keys::WriteFence(number_, fencing_token_), write_fence_});
   // A start must not be stored after a cancellation, nor in a chunk that has
   // been given away.
   std::map<std::string, uint64_t> jobs;
-  for (const Job* job : draft.starting) jobs[job->spec().id] = job->stamp;
+  for (const Job* job : draft.starting)
+    jobs[job->spec().id] = job->mod_revision;
   for (const std::string& id : draft.done_jobs) {
     const Job* job = context_.mirror.FindJob(id);
-    jobs[id] = job->stamp;
+    jobs[id] = job->mod_revision;
     JobRecord record = FinalRecord(job->record, JobState::kDone,
                                    context_.state_limits.ValueBytes());
     size_t size = RecordBytes(record);
@@ -1104,7 +1111,7 @@
   }
   for (const auto& [id, owners] : draft.moves) {
     const Job* job = context_.mirror.FindJob(id);
-    jobs[id] = job->stamp;
+    jobs[id] = job->mod_revision;
     JobRecord record = job->record;
     record.owners = owners;
     size_t size = RecordBytes(record);
@@ -1114,8 +1121,8 @@
     if (draft.moves.contains(job->spec().id)) continue;
     put(keys::Job(job->spec().id), job->record, RecordBytes(job->record));
   }
-  for (const auto& [id, stamp] : jobs) {
-    txn.conditions.push_back({keys::Job(id), stamp});
+  for (const auto& [id, mod_revision] : jobs) {
+    txn.conditions.push_back({keys::Job(id), mod_revision});
   }
   if (draft.load) {
     size_t failing = 0;
@@ -1125,8 +1132,9 @@
   for (const auto& [name, record] : draft.teams) {
     auto stored = context_.mirror.teams().find(name);
     txn.conditions.push_back(
-        {keys::Team(name),
-         stored == context_.mirror.teams().end() ? 0 : stored->second.stamp});
+        {keys::Team(name), stored == context_.mirror.teams().end()
+                               ? 0
+                               : stored->second.mod_revision});
     put(keys::Team(name), record,
         kRecordBytes * (1 + record.shares.size() / 8));
   }
@@ -1146,7 +1154,7 @@
   if (!segments) return std::nullopt;
   for (SegmentWrite& segment : *segments) {
     std::string key = keys::Segment(number_, segment.slot);
-    txn.conditions.push_back({key, segment.stamp});
+    txn.conditions.push_back({key, segment.mod_revision});
     txn.writes.push_back({key, std::move(segment.segment), 0});
   }
   return txn;
@@ -1175,10 +1183,10 @@
 
 void Partition::Plan() {
   SteadyTime now = context_.now();
-  // One token is for the segment. What goes beyond the tokens at hand is
-  // borrowed, so that a finished job need not wait until nothing else changes.
-  // While there is none the plan is due at every step, so that it is this
-  // partition's turn as soon as there is one.
+  // One token is for the segment. What goes beyond the tokens at hand
+  // is borrowed, so that a finished job need not wait until nothing else
+  // changes. While there is none the plan is due at every step, so that it is
+  // this partition's turn as soon as there is one.
   double tokens = context_.writes.Available(now);
   short_of_tokens_ = tokens < 1;
   if (short_of_tokens_) {
@@ -1290,8 +1298,9 @@
                      number_, reply.status, txn.writes.size());
   }
   for (const std::string& key : reply.failed) {
-    // A fence whose own answer was lost.
-    if (key == keys::Fence(number_, token_)) outcome_unknown_ = true;
+    // A write fence whose own answer was lost.
+    if (key == keys::WriteFence(number_, fencing_token_))
+      outcome_unknown_ = true;
   }
   // Find out what holds now before going on.
   storing_ = true;
@@ -1302,29 +1311,30 @@
 
 // A write got no answer. Reading shows whether it has been carried out, but not
 // that it never will be: a late copy would add starts to room and allotments
-// that have been given to others by then. Every write depends on the fence, so
-// once that has changed no earlier one can come through.
-void Partition::RaiseFence() {
+// that have been given to others by then. Every write depends on the write
+// fence, so once that has changed no earlier one can come through.
+void Partition::AdvanceWriteFence() {
   SteadyTime now = context_.now();
   if (!context_.writes.Take(now, 1)) return;
   context_.requests.Take(now, 1, -1e9);
   storing_ = true;
   last_write_ = now;
   Transaction txn;
-  txn.conditions.push_back({keys::Partition(number_), token_});
+  txn.conditions.push_back({keys::Partition(number_), fencing_token_});
   txn.writes.push_back(
-      {keys::Fence(number_, token_),
-       PartitionRecord{context_.deployment.label, context_.life}, 0});
+      {keys::WriteFence(number_, fencing_token_),
+       PartitionRecord{context_.deployment.label, context_.incarnation}, 0});
   context_.out.CallState(
       std::move(txn), context_.tuning.state_timeout,
       [this, alive = std::weak_ptr<int>(alive_)](const StateReply& reply) {
         if (alive.expired()) return;
         next_plan_ = context_.now() + Millis(reply.status == 200 ? 0 : 150);
         if (reply.status == 200) {
-          fence_ = reply.revision;
+          write_fence_ = reply.revision;
           outcome_unknown_ = false;
         }
-        // What the lost write did, if it was carried out before the fence.
+        // What the lost write did, if it was carried out before the write
+        // fence.
         context_.follower.AfterRead(
             [this, alive = std::weak_ptr<int>(alive_)](bool ok) {
               if (alive.expired()) return;
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -3,11 +3,11 @@
 //
 // Everything is decided by comparing what is stored with the machines' newest
 // reports. One transaction at a time carries the outcome: ends, new
-// assignments, finished jobs; it depends on the partition's token, on the
-// stamps of the segments that it overwrites and on those of the jobs whose
-// tasks start. Nobody else writes what the partition owns, so nothing else can
-// have changed. Reports are answered after it, so that starts and forgets
-// follow what is stored.
+// assignments, finished jobs; it depends on the partition's fencing token, on
+// the modification revisions of the segments that it overwrites and on those of
+// the jobs whose tasks start. Nobody else writes what the partition owns, so
+// nothing else can have changed. Reports are answered after it, so that starts
+// and forgets follow what is stored.
 #ifndef PITCHFALL_CORE_PARTITION_H_
 #define PITCHFALL_CORE_PARTITION_H_
 
@@ -23,30 +23,31 @@
 #include "core/context.h"
 #include "core/displacement.h"
 #include "core/failure_tracker.h"
+#include "core/fencing_token_announcer.h"
 #include "core/machines.h"
 #include "core/placement.h"
 #include "core/team_quota.h"
-#include "core/token_announcer.h"
 
 namespace pitchfall {
 
 class Partition : public ChunkListener {
  public:
-  Partition(Context& context, uint32_t number, uint64_t token);
+  Partition(Context& context, uint32_t number, uint64_t fencing_token);
   ~Partition() override;
   Partition(const Partition&) = delete;
   Partition& operator=(const Partition&) = delete;
 
   void CheckIn(RequestId request, const WorkerReport& report);
   void Step();
-  // Another controller says that it owns the partition, and by which token.
-  void HearOwner(const std::string& label, uint64_t token);
+  // Another controller says that it owns the partition, and by which fencing
+  // token.
+  void HearOwner(const std::string& label, uint64_t fencing_token);
 
   void OnChunk(const Job& job, uint32_t chunk, const Job::Chunk* before,
                const Job::Chunk* after) override;
 
   uint32_t number() const { return number_; }
-  uint64_t token() const { return token_; }
+  uint64_t fencing_token() const { return fencing_token_; }
   const std::map<std::string, Machine>& machines() const { return machines_; }
   FreeRoom Free() const;
   // Since when no worker has been heard; owners that their workers cannot
@@ -133,7 +134,7 @@
   // What should be stored next.
   Draft MakeDraft(const std::vector<const Job*>& jobs);
   void ForgetPlanned();
-  void RaiseFence();
+  void AdvanceWriteFence();
   // Adds this period's report to what is stored next.
   void DraftLoad(Draft& draft);
   void LogLoad(const LoadRecord& load) const;
@@ -190,10 +191,10 @@
   // Replies that come after this partition was given away find it expired.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   const uint32_t number_;
-  const uint64_t token_;
+  const uint64_t fencing_token_;
   bool adopting_ = true;  // while the chunks of earlier owners are read in
   // A later owner is known of, though the state does not show it here yet.
-  bool superseded_ = false;
+  bool deposed_ = false;
   std::string successor_;  // if it has told so itself
   SteadyTime owned_since_;
   SteadyTime last_heard_;
@@ -213,7 +214,8 @@
   uint32_t started_ = 0;
   Duration waited_{0};
 
-  uint64_t fence_ = 0;  // stamp of this ownership's fence key
+  uint64_t write_fence_ =
+      0;  // modification revision of this ownership's write fence key
   bool outcome_unknown_ = false;
   bool storing_ = false;
   bool short_of_tokens_ = false;  // for the transaction to be planned next
@@ -222,7 +224,7 @@
   SteadyTime next_walk_{};
   bool deleting_ = false;
   SteadyTime next_delete_{};
-  TokenAnnouncer announcer_;
+  FencingTokenAnnouncer announcer_;
 };
 
 }  // namespace pitchfall
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -92,8 +92,8 @@
   }
 };
 
-// A try of a task bound to a machine, from before its start is sent until it is
-// proven to be gone.
+// An attempt of a task bound to a machine, from before its start is sent until
+// it is proven to be gone.
 struct Assignment {
   uint32_t task = 0;
   uint32_t attempt = 0;
@@ -126,15 +126,15 @@
 // A live controller process; its key hangs on a lease.
 struct NodeRecord {
   std::string label;
-  std::string life;
+  std::string incarnation;
   uint32_t version = kFirstVersion;
 };
 
-// Names the owner of a partition. The stamp of this key is the partition's
-// token.
+// Names the owner of a partition. The modification revision of this key is the
+// partition's fencing token.
 struct PartitionRecord {
   std::string label;
-  std::string life;
+  std::string incarnation;
   // The owner before, if it gave the partition up because its workers could not
   // reach it: it should not get it back at once.
   std::string shunned;
@@ -236,16 +236,18 @@
 inline std::string Segment(uint32_t partition, uint32_t slot) {
   return kSegments + std::to_string(partition) + "/" + std::to_string(slot);
 }
-inline std::string Node(const std::string& label, const std::string& life) {
-  return kNodes + label + "." + life;
+inline std::string Node(const std::string& label,
+                        const std::string& incarnation) {
+  return kNodes + label + "." + incarnation;
 }
 inline std::string Partition(uint32_t partition) {
   return kPartitions + std::to_string(partition);
 }
 // Changed after a write whose outcome stays unknown, so that a late copy of it
 // finds a condition unmet.
-inline std::string Fence(uint32_t partition, uint64_t token) {
-  return "pf/fences/" + std::to_string(partition) + "." + std::to_string(token);
+inline std::string WriteFence(uint32_t partition, uint64_t fencing_token) {
+  return "pf/fences/" + std::to_string(partition) + "." +
+         std::to_string(fencing_token);
 }
 inline std::string Team(const std::string& name) { return kTeams + name; }
 inline std::string Load(uint32_t partition) {
--- a/src/core/segments.cc
+++ b/src/core/segments.cc
@@ -78,7 +78,7 @@
   slots.reserve(count);
   for (uint32_t slot = 0; slot < count; ++slot) {
     const Mirror::Segment* segment = mirror.FindSegment(partition, slot);
-    slots.push_back({segment == nullptr ? 0 : segment->stamp, slot});
+    slots.push_back({segment == nullptr ? 0 : segment->mod_revision, slot});
   }
   std::sort(slots.begin(), slots.end());
   return slots;
@@ -125,9 +125,9 @@
                           RingSlots(mirror, partition, limits.value_bytes));
   std::vector<SegmentWrite> writes;
   while (writes.size() < std::min(limits.writes, slots.size())) {
-    const auto& [stamp, slot] = slots[writes.size()];
+    const auto& [mod_revision, slot] = slots[writes.size()];
     AddLiveEntries(mirror, partition, slot, included, changed);
-    writes.push_back({slot, stamp, {}});
+    writes.push_back({slot, mod_revision, {}});
     SegmentLimits slots_so_far = limits;
     slots_so_far.writes = writes.size();
     auto filled = Fill(changed, slots_so_far);
@@ -152,7 +152,7 @@
   std::set<Mirror::ChunkKey> included;
   for (const auto& entry : changed) included.insert({entry.job, entry.chunk});
   std::vector<SegmentRecord::Entry> older;
-  for (const auto& [stamp, slot] : SlotsByAge(mirror, partition, end)) {
+  for (const auto& [mod_revision, slot] : SlotsByAge(mirror, partition, end)) {
     AddLiveEntries(mirror, partition, slot, included, older);
     if (older.size() > kMostMovedEntries) break;
   }
--- a/src/core/segments.h
+++ b/src/core/segments.h
@@ -6,7 +6,7 @@
 // as in a log-structured file system (Rosenblum and Ousterhout, 1991): a write
 // holds all chunks that have changed and, copied forward, those whose newest
 // version lies in the segment that it overwrites. What is newest follows from
-// the chunk's epoch and the segment's stamp alone.
+// the chunk's epoch and the segment's modification revision alone.
 //
 // A version that says that nothing is bound any more need not be copied
 // forward once its job is over: everything older in the ring is overwritten
@@ -76,7 +76,7 @@
 };
 struct SegmentWrite {
   uint32_t slot = 0;
-  uint64_t stamp = 0;  // of what is overwritten
+  uint64_t mod_revision = 0;  // of what is overwritten
   SegmentRecord segment;
 };
 std::optional<std::vector<SegmentWrite>> PlanSegments(
--- a/src/core/users.cc
+++ b/src/core/users.cc
@@ -17,7 +17,8 @@
 constexpr Duration kMaxPollWait = Millis(1500);
 constexpr size_t kMaxWaitingPolls = 2000;
 // Starts and results come first, but they use up whatever there is. After so
-// long a submission takes a token that the next of them will have to wait for.
+// long a submission takes a token that the next of them will have to
+// wait for.
 constexpr Duration kPatience = Millis(40);
 constexpr double kSubmissionDebt = 2;
 constexpr Duration kStoreGap = Millis(15);
@@ -261,7 +262,7 @@
     if (!batch.empty() && bytes > kTransactionBytes) break;
     if (!context_.writes.Take(now, 1, change.cancel ? -2 : spare)) break;
     if (change.cancel) {
-      txn.conditions.push_back({keys::Job(change.job), job->stamp});
+      txn.conditions.push_back({keys::Job(change.job), job->mod_revision});
       txn.writes.push_back({keys::Job(change.job),
                             FinalRecord(job->record, JobState::kCancelled,
                                         context_.state_limits.ValueBytes())});
--- a/src/core/vouchers.cc
+++ b/src/core/vouchers.cc
@@ -14,10 +14,13 @@
                     SteadyTime known_at) {
   auto vouched = vouched_.find(hello.label);
   if (vouched == vouched_.end()) return;
-  // What its earlier lives told after the last read here is not known to it.
+  // What its earlier incarnations told after the last read here is not known to
+  // it.
   if (LessDrift(hello.uptime) < now - known_at) return;
   for (const PeerHello::Echo& echo : hello.echoes) {
-    if (echo.label != label_ || echo.life != life_ || echo.mark > now) continue;
+    if (echo.label != label_ || echo.incarnation != incarnation_ ||
+        echo.mark > now)
+      continue;
     vouched->second = std::max(vouched->second, echo.mark);
   }
 }
--- a/src/core/vouchers.h
+++ b/src/core/vouchers.h
@@ -7,9 +7,10 @@
 // same message all cancellations it knows beyond the revision known here. A
 // controller tells users only of cancellations that it knows, so whatever it
 // told before it sent the echo, hence whatever it told before the mark, is
-// known here then. An earlier life of it may have told others: the echo counts
-// only if its life began before the last read here, which shows what earlier
-// lives had stored. One controller that is silent keeps all at its last word.
+// known here then. An earlier incarnation of it may have told others: the echo
+// counts only if its incarnation began before the last read here, which shows
+// what earlier incarnations had stored. One controller that is silent keeps all
+// at its last word.
 #ifndef PITCHFALL_CORE_VOUCHERS_H_
 #define PITCHFALL_CORE_VOUCHERS_H_
 
@@ -26,8 +27,9 @@
 
 class Vouchers {
  public:
-  Vouchers(const Deployment& deployment, std::string label, std::string life)
-      : label_(std::move(label)), life_(std::move(life)) {
+  Vouchers(const Deployment& deployment, std::string label,
+           std::string incarnation)
+      : label_(std::move(label)), incarnation_(std::move(incarnation)) {
     for (const auto& peer : deployment.peers) vouched_[peer.label];
   }
 
@@ -39,7 +41,7 @@
 
  private:
   const std::string label_;
-  const std::string life_;
+  const std::string incarnation_;
   std::map<std::string, SteadyTime> vouched_;  // by the other controllers
 };
 
--- a/src/io/runtime.cc
+++ b/src/io/runtime.cc
@@ -20,7 +20,7 @@
 // have the rest.
 constexpr size_t kWorkerShare = 8;
 
-std::string NewLife() {
+std::string NewIncarnation() {
   std::random_device random;
   return fmt::format("{:08x}{:08x}", random(), random());
 }
@@ -46,7 +46,7 @@
 
 Runtime::Runtime(const Deployment& deployment, const Tuning& tuning)
     : base_(event_base_new()),
-      controller_(deployment, tuning, NewLife()),
+      controller_(deployment, tuning, NewIncarnation()),
       front_(base_.get(), ParseAddress(deployment.front),
              MostConnections(deployment),
              [this](Command command) { Push(std::move(command)); }),
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -139,9 +139,9 @@
   report.type = ReadName(in, "rig");
   report.zone = ReadName(in, "yard");
   report.spot = in.FlagOr("loaners", false);
-  report.session = in.Count("shift");
+  report.agent_epoch = in.Count("shift");
   report.seq = in.Count("tally");
-  report.token = in.CountOr("baton", 0);
+  report.fencing_token = in.CountOr("baton", 0);
   if (in.Find("recall_s") != nullptr) {
     report.notice = ReadSeconds(in, "recall_s");
   }
@@ -207,7 +207,7 @@
   }
 }
 void PackBody(Packer& out, const Orders& orders) {
-  out.Map(2).Pair("baton", orders.token);
+  out.Map(2).Pair("baton", orders.fencing_token);
   PackOrders(out, orders.orders);
 }
 void PackBody(Packer& out, const Redirect& redirect) {
@@ -227,7 +227,7 @@
   Packer out;
   out.Map(2).Key("if").List(txn.conditions.size());
   for (const Condition& condition : txn.conditions) {
-    out.Map(2).Pair("key", condition.key).Pair("stamp", condition.stamp);
+    out.Map(2).Pair("key", condition.key).Pair("stamp", condition.mod_revision);
   }
   out.Key("writes").List(txn.writes.size());
   for (const Write& write : txn.writes) {
@@ -245,7 +245,7 @@
 Change ReadChange(const Fields& row, std::string_view key_field) {
   Change change;
   change.key = row.Text(key_field);
-  change.stamp = row.Count("stamp");
+  change.mod_revision = row.Count("stamp");
   if (const msgpack::object* value = row.Find("v")) {
     try {
       change.value = ReadRecord(change.key, *value);
@@ -467,7 +467,9 @@
     http.post = true;
     http.path = "/commands";
     Packer out;
-    out.Map(3).Pair("baton", command->token).Pair("shift", command->session);
+    out.Map(3)
+        .Pair("baton", command->fencing_token)
+        .Pair("shift", command->agent_epoch);
     PackOrders(out, command->orders);
     http.body = out.Take();
   } else {
--- a/src/wire/peer.capnp
+++ b/src/wire/peer.capnp
@@ -7,7 +7,7 @@
 # has stored a cancellation.
 struct Hello {
   label @0 :Text;
-  life @1 :Text;
+  incarnation @1 :Text;
   sentMicros @2 :Int64;
   stateAgeMicros @3 :Int64;
   strays @4 :List(UInt32);
@@ -22,10 +22,10 @@
   tokens @13 :List(Token);
 }
 
-# The newest mark that the sender has heard from a controller's life.
+# The newest mark that the sender has heard from a controller's incarnation.
 struct Echo {
   label @0 :Text;
-  life @1 :Text;
+  incarnation @1 :Text;
   markMicros @2 :Int64;
 }
 
--- a/src/wire/peer.cc
+++ b/src/wire/peer.cc
@@ -39,7 +39,7 @@
   capnp::MallocMessageBuilder builder;
   auto root = builder.initRoot<schema::Hello>();
   root.setLabel(hello.label);
-  root.setLife(hello.life);
+  root.setIncarnation(hello.incarnation);
   root.setSentMicros(hello.sent.time_since_epoch().count());
   root.setStateAgeMicros(hello.state_age.count());
   auto strays = root.initStrays(static_cast<unsigned>(hello.strays.size()));
@@ -60,7 +60,7 @@
   auto echoes = root.initEchoes(static_cast<unsigned>(hello.echoes.size()));
   for (unsigned i = 0; i < echoes.size(); ++i) {
     echoes[i].setLabel(hello.echoes[i].label);
-    echoes[i].setLife(hello.echoes[i].life);
+    echoes[i].setIncarnation(hello.echoes[i].incarnation);
     echoes[i].setMarkMicros(hello.echoes[i].mark.time_since_epoch().count());
   }
   auto cancelled =
@@ -70,9 +70,9 @@
   }
   auto tokens = root.initTokens(static_cast<unsigned>(hello.tokens.size()));
   count = 0;
-  for (const auto& [partition, token] : hello.tokens) {
+  for (const auto& [partition, fencing_token] : hello.tokens) {
     tokens[count].setPartition(partition);
-    tokens[count++].setToken(token);
+    tokens[count++].setToken(fencing_token);
   }
   auto words = capnp::messageToFlatArray(builder);  // owns the bytes
   auto bytes = words.asBytes();
@@ -95,7 +95,7 @@
     auto root = reader.getRoot<schema::Hello>();
     PeerHello hello;
     hello.label = root.getLabel().cStr();
-    hello.life = root.getLife().cStr();
+    hello.incarnation = root.getIncarnation().cStr();
     hello.sent = WallTime(Duration(root.getSentMicros()));
     hello.state_age = Duration(root.getStateAgeMicros());
     for (uint32_t strays : root.getStrays()) hello.strays.push_back(strays);
@@ -110,12 +110,13 @@
     hello.revision = root.getRevision();
     hello.mark = SteadyTime(Duration(root.getMarkMicros()));
     for (auto echo : root.getEchoes()) {
-      hello.echoes.push_back({echo.getLabel().cStr(), echo.getLife().cStr(),
+      hello.echoes.push_back({echo.getLabel().cStr(),
+                              echo.getIncarnation().cStr(),
                               SteadyTime(Duration(echo.getMarkMicros()))});
     }
     for (auto id : root.getCancelled()) hello.cancelled.push_back(id.cStr());
-    for (auto token : root.getTokens()) {
-      hello.tokens[token.getPartition()] = token.getToken();
+    for (auto fencing_token : root.getTokens()) {
+      hello.tokens[fencing_token.getPartition()] = fencing_token.getToken();
     }
     if (!(hello.requests >= 0) || !(hello.writes >= 0)) return std::nullopt;
     return hello;
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -259,7 +259,7 @@
 }
 
 void Pack(Packer& out, const NodeRecord& node) {
-  out.Map(3).Pair("label", node.label).Pair("life", node.life);
+  out.Map(3).Pair("label", node.label).Pair("life", node.incarnation);
   out.Pair("version", node.version);
 }
 NodeRecord ReadNode(const Fields& in) {
@@ -268,7 +268,7 @@
 }
 
 void Pack(Packer& out, const PartitionRecord& share) {
-  out.Map(3).Pair("label", share.label).Pair("life", share.life);
+  out.Map(3).Pair("label", share.label).Pair("life", share.incarnation);
   out.Pair("shun", share.shunned);
 }
 PartitionRecord ReadPartition(const Fields& in) {
--- a/tests/bound_test.cc
+++ b/tests/bound_test.cc
@@ -14,7 +14,7 @@
 namespace pitchfall {
 namespace {
 
-constexpr uint64_t kToken = 50;
+constexpr uint64_t kFencingToken = 50;
 
 Deployment HuntSized() {
   Deployment d;
@@ -53,7 +53,7 @@
     Read();  // the list
     Read();  // what came since: everything is known as of here
     known_at_ = now_.steady;
-    partition_ = std::make_unique<Partition>(context_, 0, kToken);
+    partition_ = std::make_unique<Partition>(context_, 0, kFencingToken);
   }
 
   void SetNow(Duration at) {
@@ -83,9 +83,9 @@
     report.address = "m-1:1";
     report.type = "c8";
     report.zone = "a";
-    report.session = 1;
+    report.agent_epoch = 1;
     report.seq = seq;
-    report.token = kToken;
+    report.fencing_token = kFencingToken;
     report.tasks = std::move(tasks);
     return report;
   }
@@ -110,7 +110,7 @@
   PeerHello Voucher(const std::string& label, SteadyTime mark) {
     PeerHello hello;
     hello.label = label;
-    hello.life = "any";
+    hello.incarnation = "any";
     hello.uptime = Seconds(500);
     hello.echoes = {{"node-0", "life", mark}};
     return hello;
@@ -161,7 +161,7 @@
   EXPECT_EQ(StatusOfReport(2), 503);
 }
 
-TEST_F(Bound, ALifeThatBeganAfterTheLastReadDoesNotVouch) {
+TEST_F(Bound, AnIncarnationThatBeganAfterTheLastReadDoesNotCount) {
   Advance(Seconds(10));
   for (const char* label : {"node-1", "node-2"}) {
     PeerHello hello = Voucher(label, now_.steady);
@@ -178,11 +178,11 @@
   EXPECT_EQ(context_.vouchers.KnownUntil(known_at_, now_.steady), now_.steady);
 }
 
-TEST_F(Bound, EchoesOfAnEarlierLifeOfThisOneOrFromStrangersDoNotCount) {
+TEST_F(Bound, EchoesOfAnEarlierIncarnationOrFromStrangersDoNotCount) {
   Advance(Seconds(10));
   for (const char* label : {"node-1", "node-2"}) {
     PeerHello hello = Voucher(label, now_.steady);
-    hello.echoes[0].life = "former";
+    hello.echoes[0].incarnation = "former";
     context_.vouchers.Hear(hello, now_.steady, known_at_);
     hello.echoes[0] = {"node-7", "life", now_.steady};
     context_.vouchers.Hear(hello, now_.steady, known_at_);
@@ -216,9 +216,9 @@
 // Another controller that owns the partition says so: whatever the clock says,
 // nothing is answered any more, and workers are sent there.
 TEST_F(Bound, EndsWhenALaterOwnerIsHeard) {
-  partition_->HearOwner("node-2", kToken - 1);  // an earlier one
+  partition_->HearOwner("node-2", kFencingToken - 1);  // an earlier one
   EXPECT_EQ(StatusOfReport(1), 200);
-  partition_->HearOwner("node-2", kToken + 1);
+  partition_->HearOwner("node-2", kFencingToken + 1);
   EXPECT_EQ(StatusOfReport(2), 421);
   EXPECT_EQ(redirect_, "node-2");
 }
@@ -226,8 +226,8 @@
 // ---- Writes without an answer ----
 
 // A write that got no answer may be carried out any time later. Before anything
-// else is written the fence changes, on which it depended, and what is written
-// after depends on the new one.
+// else is written the write fence changes, on which it depended, and what is
+// written after depends on the new one.
 TEST_F(Bound, AfterAWriteWithoutAnAnswerTheFenceIsRaisedFirst) {
   auto write = [this]() -> std::optional<StateCall> {
     for (int step = 0; step < 100; ++step) {
@@ -261,7 +261,7 @@
   };
   auto fence_in = [](const StateCall& call) -> std::optional<uint64_t> {
     for (const auto& c : std::get<Transaction>(call.request).conditions) {
-      if (c.key == keys::Fence(0, kToken)) return c.stamp;
+      if (c.key == keys::WriteFence(0, kFencingToken)) return c.mod_revision;
     }
     return std::nullopt;
   };
@@ -270,22 +270,23 @@
   EXPECT_EQ(fence_in(*lost), 0u);
   // As every write of an owner it depends on the ownership too.
   const auto& conditions = std::get<Transaction>(lost->request).conditions;
-  EXPECT_TRUE(std::any_of(
-      conditions.begin(), conditions.end(), [](const Condition& condition) {
-        return condition.key == keys::Partition(0) && condition.stamp == kToken;
-      }));
+  EXPECT_TRUE(std::any_of(conditions.begin(), conditions.end(),
+                          [](const Condition& condition) {
+                            return condition.key == keys::Partition(0) &&
+                                   condition.mod_revision == kFencingToken;
+                          }));
   answer(*lost, 0, 0);
   std::optional<StateCall> fence = write();
   ASSERT_TRUE(fence);
   const auto& raised = std::get<Transaction>(fence->request);
   ASSERT_EQ(raised.writes.size(), 1u);
-  EXPECT_EQ(raised.writes[0].key, keys::Fence(0, kToken));
+  EXPECT_EQ(raised.writes[0].key, keys::WriteFence(0, kFencingToken));
   // Its own answer is lost too: again.
   answer(*fence, 0, 0);
   fence = write();
   ASSERT_TRUE(fence);
   ASSERT_EQ(std::get<Transaction>(fence->request).writes[0].key,
-            keys::Fence(0, kToken));
+            keys::WriteFence(0, kFencingToken));
   answer(*fence, 200, 150);
   std::optional<StateCall> next = write();
   ASSERT_TRUE(next);
@@ -440,12 +441,13 @@
 
 TEST(CancelledSince, IsWholeOrNothing) {
   Mirror mirror;
-  auto apply = [&](const std::string& id, uint64_t stamp, JobState state) {
+  auto apply = [&](const std::string& id, uint64_t mod_revision,
+                   JobState state) {
     JobRecord record;
     record.spec.id = id;
     record.spec.tasks = 1;
     record.state = state;
-    mirror.Apply({keys::Job(id), record, stamp});
+    mirror.Apply({keys::Job(id), record, mod_revision});
   };
   apply("run-1", 1, JobState::kAccepted);
   apply("run-2", 2, JobState::kDone);
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -189,7 +189,7 @@
   out.Pair("status", "exited").Pair("cause", "done");
   auto report = DecodeReport(out.Take()).value;
   ASSERT_TRUE(report);
-  EXPECT_EQ(report->token, 41u);
+  EXPECT_EQ(report->fencing_token, 41u);
   ASSERT_EQ(report->tasks.size(), 2u);
   EXPECT_EQ(report->tasks[0].job, "run-000412");
   EXPECT_EQ(report->tasks[0].task, 3u);
@@ -354,7 +354,7 @@
   const std::string submission = Submission();
   PeerHello hello;
   hello.label = "node-0";
-  hello.life = "abc";
+  hello.incarnation = "abc";
   hello.strays = {1, 2, 3};
   hello.free[1].any = {5, 6};
   hello.echoes = {{"node-1", "0a", SteadyTime(Seconds(9))}};
@@ -401,7 +401,7 @@
 TEST(Hello, ComesBackAsItWas) {
   PeerHello hello;
   hello.label = "node-1";
-  hello.life = "00ff";
+  hello.incarnation = "00ff";
   hello.sent = WallTime(Seconds(12));
   hello.state_age = Millis(250);
   hello.strays = {0, 4};
@@ -429,7 +429,7 @@
   EXPECT_EQ(back->mark, hello.mark);
   ASSERT_EQ(back->echoes.size(), 2u);
   EXPECT_EQ(back->echoes[1].label, "node-2");
-  EXPECT_EQ(back->echoes[1].life, "0b");
+  EXPECT_EQ(back->echoes[1].incarnation, "0b");
   EXPECT_EQ(back->echoes[1].mark, SteadyTime(Seconds(8)));
   EXPECT_EQ(back->cancelled, hello.cancelled);
   EXPECT_EQ(back->tokens, hello.tokens);
--- a/tests/compound_failures_test.cc
+++ b/tests/compound_failures_test.cc
@@ -174,15 +174,16 @@
       });
 }
 
-// Stops of the former owner arrive after the new owner has shown its token and
-// started other tasks there.
+// Stops of the former owner arrive after the new owner has shown its fencing
+// token and started other tasks there.
 TEST(CompoundFailure, CommandsOfADeposedLeaderArriveAfterTheNewLeaders) {
   Play([](WorldConfig& config) { config.jobs = 40; },
        [](World& world) {
          world.At(20, [&world] { world.DelayCommands(0.9, 40); });
          for (int i = 0; i < 3; ++i) {
            world.At(25 + 12 * i, [&world] { world.CancelNow(4, 0); });
-           // Deposed but alive: it keeps its workers until they see the token.
+           // Deposed but alive: it keeps its workers until they see the fencing
+           // token.
            world.At(25.3 + 12 * i, [&world] {
              world.CutNode(world.OwnerOf(0), {.state = true, .peers = true}, 7);
            });
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -21,7 +21,7 @@
 namespace pitchfall {
 namespace {
 
-constexpr uint64_t kToken = 50;
+constexpr uint64_t kFencingToken = 50;
 
 JobSpec Spec(const std::string& id, uint32_t tasks, double cpus) {
   JobSpec spec;
@@ -36,22 +36,22 @@
   return spec;
 }
 
-Change JobChange(const JobSpec& spec, uint64_t stamp,
+Change JobChange(const JobSpec& spec, uint64_t mod_revision,
                  JobState state = JobState::kAccepted) {
   JobRecord record;
   record.spec = spec;
   record.state = state;
   record.chunk_size = 8;
-  return {keys::Job(spec.id), record, stamp};
+  return {keys::Job(spec.id), record, mod_revision};
 }
 
-Change ChunkChange(const std::string& id, uint32_t chunk, uint64_t stamp,
+Change ChunkChange(const std::string& id, uint32_t chunk, uint64_t mod_revision,
                    std::vector<Assignment> assigned, uint32_t done = 0) {
   ChunkRecord record;
   record.assigned = std::move(assigned);
   for (uint32_t task = 0; task < done; ++task) AddTask(record.done, task);
-  return {keys::Segment(0, static_cast<uint32_t>(stamp % kLeastSlots)),
-          SegmentRecord{{{id, chunk, std::move(record)}}}, stamp};
+  return {keys::Segment(0, static_cast<uint32_t>(mod_revision % kLeastSlots)),
+          SegmentRecord{{{id, chunk, std::move(record)}}}, mod_revision};
 }
 
 // ---- Proofs ----
@@ -62,9 +62,9 @@
     job_.record.spec = Spec("run-1", 4, 1);
     machine_.name = "m-1";
     WorkerReport report;
-    report.session = 2;
+    report.agent_epoch = 2;
     report.seq = 10;
-    report.token = kToken;
+    report.fencing_token = kFencingToken;
     machine_.report = report;
     task_.job = &job_;
     task_.attempt = 3;
@@ -74,7 +74,7 @@
     machine_.report->tasks.push_back({"run-1", 0, attempt, state, cause});
   }
   Verdict Ask(bool wanted = true) {
-    return Judge(machine_, {"run-1", 0}, task_, kToken, wanted);
+    return Judge(machine_, {"run-1", 0}, task_, kFencingToken, wanted);
   }
   Job job_;
   Machine machine_;
@@ -83,7 +83,7 @@
 
 TEST_F(Proof, NothingFollowsFromAReportOlderThanTheToken) {
   task_.inherited = true;
-  machine_.report->token = kToken - 1;
+  machine_.report->fencing_token = kFencingToken - 1;
   EXPECT_EQ(Ask(), Verdict::kHeld);
   Reported(TaskState::kExited, ExitCause::kStopped);
   EXPECT_EQ(Ask(), Verdict::kHeld);
@@ -106,8 +106,9 @@
   EXPECT_EQ(Ask(false), Verdict::kGone);
 }
 
-// In a session that ended the try may have run: it must not be started again.
-TEST_F(Proof, ANewSessionEndsWhatWasStartedBefore) {
+// In a agent epoch that ended the try may have run: it must not be started
+// again.
+TEST_F(Proof, ANewAgentEpochEndsWhatWasStartedBefore) {
   task_.start_sent = std::pair<uint64_t, uint64_t>(1, 9);
   EXPECT_EQ(Ask(true), Verdict::kGone);
 }
@@ -139,7 +140,7 @@
   machine_.report->tasks.push_back(
       {"run-9", 1, 1, TaskState::kExited, ExitCause::kDone});
   auto yes = [](const HeldTask&) { return true; };
-  OrderPolicy policy{kToken, true, SteadyTime(Seconds(100)), yes};
+  OrderPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)), yes};
   std::vector<Order> orders = MakeOrders(machine_, policy);
   ASSERT_EQ(orders.size(), 3u);
   EXPECT_EQ(orders[0].op, Order::Op::kStop);
@@ -160,7 +161,7 @@
   Reported(TaskState::kRunning);
   task_.preempted = true;
   auto yes = [](const HeldTask&) { return true; };
-  OrderPolicy policy{kToken, true, SteadyTime(Seconds(100)), yes};
+  OrderPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)), yes};
   auto grace = [&](double running_since_s) {
     task_.running_since = SteadyTime(Seconds(running_since_s));
     machine_.held[{"run-1", 0}] = task_;
@@ -177,9 +178,10 @@
 TEST_F(Proof, NothingStartsWhenItMayNotOrIsNotWanted) {
   machine_.held[{"run-1", 0}] = task_;
   auto yes = [](const HeldTask&) { return true; };
-  OrderPolicy no_starts{kToken, false, {}, yes};
+  OrderPolicy no_starts{kFencingToken, false, {}, yes};
   EXPECT_TRUE(MakeOrders(machine_, no_starts).empty());
-  OrderPolicy unwanted{kToken, true, {}, [](const HeldTask&) { return false; }};
+  OrderPolicy unwanted{
+      kFencingToken, true, {}, [](const HeldTask&) { return false; }};
   EXPECT_TRUE(MakeOrders(machine_, unwanted).empty());
 }
 
@@ -202,7 +204,7 @@
   mirror.Apply(put);
   EXPECT_TRUE(mirror.rentals().empty());
   mirror.AdvanceTo(6);
-  put.stamp = 8;
+  put.mod_revision = 8;
   mirror.Apply(put);
   EXPECT_EQ(mirror.rentals().size(), 1u);
 }
@@ -231,13 +233,13 @@
 TEST(Mirror, AChunkThatWasGivenAwayStaysWithItsNewOwner) {
   Mirror mirror;
   mirror.Apply(JobChange(Spec("run-1", 8, 1), 1));
-  auto version = [](uint32_t partition, uint32_t epoch, uint64_t stamp,
+  auto version = [](uint32_t partition, uint32_t epoch, uint64_t mod_revision,
                     bool on) {
     ChunkRecord record;
     record.epoch = epoch;
     if (on) record.assigned = {{0, 1, "m-1", "a"}};
     return Change{keys::Segment(partition, 0),
-                  SegmentRecord{{{"run-1", 0, record}}}, stamp};
+                  SegmentRecord{{{"run-1", 0, record}}}, mod_revision};
   };
   mirror.Apply(version(0, 0, 2, false));
   mirror.Apply(version(1, 1, 3, true));
@@ -252,11 +254,11 @@
   Change change = ChunkChange("run-1", 0, 2, {{0, 1, "m-1", "a"}});
   mirror.Apply(change);
   change.value.reset();
-  change.stamp = 3;
+  change.mod_revision = 3;
   change.unreadable = true;
   mirror.Apply(change);
   EXPECT_EQ(mirror.FindJob("run-1")->assigned, 1u);
-  EXPECT_EQ(mirror.FindJob("run-1")->FindChunk(0)->stamp, 2u);
+  EXPECT_EQ(mirror.FindJob("run-1")->FindChunk(0)->mod_revision, 2u);
 }
 
 // Counted from scratch after every step of a random history.
@@ -268,12 +270,12 @@
     mirror.Apply(JobChange(Spec("run-" + std::to_string(job), 40, 1),
                            static_cast<uint64_t>(job) + 1));
   }
-  for (uint64_t stamp = 10; stamp < 500; ++stamp) {
+  for (uint64_t mod_revision = 10; mod_revision < 500; ++mod_revision) {
     int job = static_cast<int>(random() % 5);
     uint32_t chunk = random() % 5;
     std::string id = "run-" + std::to_string(job);
     if (random() % 5 == 0) {
-      mirror.Apply(ChunkChange(id, chunk, stamp, {}));
+      mirror.Apply(ChunkChange(id, chunk, mod_revision, {}));
       plain.erase({job, chunk});
     } else {
       std::vector<Assignment> assigned;
@@ -282,7 +284,7 @@
       }
       uint32_t done = random() % 4;
       plain[{job, chunk}] = {assigned.size(), done};
-      mirror.Apply(ChunkChange(id, chunk, stamp, assigned, done));
+      mirror.Apply(ChunkChange(id, chunk, mod_revision, assigned, done));
     }
     size_t on = 0;
     uint32_t done = 0;
@@ -419,7 +421,7 @@
                              static_cast<uint64_t>(job) + 1));
     writer.Apply(jobs.back());
   }
-  for (uint64_t stamp = 100; stamp < 600; ++stamp) {
+  for (uint64_t mod_revision = 100; mod_revision < 600; ++mod_revision) {
     std::vector<SegmentRecord::Entry> changed;
     for (uint32_t n = 1 + random() % 4; n > 0; --n) {
       Mirror::ChunkKey key{"run-" + std::to_string(random() % 20),
@@ -439,13 +441,14 @@
     auto writes = PlanSegments(writer, 0, changed, {kBytes, 8 * kBytes, 8});
     ASSERT_TRUE(writes);
     for (SegmentWrite& write : *writes) {
-      Change change{keys::Segment(0, write.slot), write.segment, stamp};
+      Change change{keys::Segment(0, write.slot), write.segment, mod_revision};
       auto old = stored.find(change.key);
-      EXPECT_EQ(write.stamp, old == stored.end() ? 0 : old->second.stamp);
+      EXPECT_EQ(write.mod_revision,
+                old == stored.end() ? 0 : old->second.mod_revision);
       stored[change.key] = change;
       writer.Apply(change);
     }
-    writer.AdvanceTo(stamp);
+    writer.AdvanceTo(mod_revision);
     Mirror reader;
     for (const Change& job : jobs) reader.Apply(job);
     for (const auto& [key, change] : stored) reader.Apply(change);
@@ -466,14 +469,15 @@
   constexpr size_t kBytes = 2000;
   constexpr uint32_t kJobs = 800;
   Mirror mirror;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   for (uint32_t job = 0; job < kJobs; ++job) {
-    mirror.Apply(JobChange(Spec("run-" + std::to_string(job), 8, 1), ++stamp));
+    mirror.Apply(
+        JobChange(Spec("run-" + std::to_string(job), 8, 1), ++mod_revision));
   }
   size_t copied = 0;
   auto store = [&](uint32_t job, uint32_t tasks) {
     ChunkRecord record;
-    record.next_attempt = static_cast<uint32_t>(stamp);
+    record.next_attempt = static_cast<uint32_t>(mod_revision);
     for (uint32_t t = 0; t < tasks; ++t) {
       record.assigned.push_back({t, 1, "m-" + std::to_string(job), "a"});
     }
@@ -481,13 +485,13 @@
         PlanSegments(mirror, 0, {{"run-" + std::to_string(job), 0, record}},
                      {kBytes, 8 * kBytes, 8});
     ASSERT_TRUE(writes) << job;
-    ++stamp;
+    ++mod_revision;
     for (SegmentWrite& write : *writes) {
       copied += write.segment.entries.size();
-      mirror.Apply({keys::Segment(0, write.slot), write.segment, stamp});
+      mirror.Apply({keys::Segment(0, write.slot), write.segment, mod_revision});
     }
     copied -= 1;
-    mirror.AdvanceTo(stamp);
+    mirror.AdvanceTo(mod_revision);
   };
   for (uint32_t job = 0; job < kJobs; ++job) store(job, 8);
   EXPECT_GT(mirror.LiveBytes(0), kLeastSlots * kBytes);
@@ -506,7 +510,7 @@
   constexpr SegmentLimits kSmall{1800, 50000, 4};
   std::map<std::string, Change> stored;
   Mirror mirror;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   auto apply = [&](const Change& change) {
     stored[change.key] = change;
     mirror.Apply(change);
@@ -521,30 +525,30 @@
   };
   constexpr uint32_t kJobs = kLeastSlots * kJobsInSlot;
   for (uint32_t job = 0; job < kJobs; ++job) {
-    apply(JobChange(Spec("run-" + std::to_string(job), 8, 1), ++stamp));
+    apply(JobChange(Spec("run-" + std::to_string(job), 8, 1), ++mod_revision));
   }
   for (uint32_t slot = 0; slot < kLeastSlots; ++slot) {
     SegmentRecord segment;
     for (uint32_t n = 0; n < kJobsInSlot; ++n) {
       segment.entries.push_back(bind(slot * kJobsInSlot + n, 1));
     }
-    apply({keys::Segment(0, slot), segment, ++stamp});
+    apply({keys::Segment(0, slot), segment, ++mod_revision});
   }
-  mirror.AdvanceTo(stamp);
+  mirror.AdvanceTo(mod_revision);
   for (uint32_t round = 0; round < 2000; ++round) {
     auto writes =
         PlanSegments(mirror, 0, {bind(round % kJobs, 2 + round)}, kSmall);
     ASSERT_TRUE(writes) << round;
     ASSERT_LE(writes->size(), kSmall.writes);
-    ++stamp;
+    ++mod_revision;
     for (const SegmentWrite& write : *writes) {
       SegmentFiller filler(kSmall.value_bytes);
       for (const auto& entry : write.segment.entries) {
         ASSERT_TRUE(filler.Add(entry)) << round;
       }
-      apply({keys::Segment(0, write.slot), write.segment, stamp});
+      apply({keys::Segment(0, write.slot), write.segment, mod_revision});
     }
-    mirror.AdvanceTo(stamp);
+    mirror.AdvanceTo(mod_revision);
   }
   EXPECT_LT(mirror.SlotCount(0), kMostSlots / 2);
   Mirror reader;
--- a/tests/fakes/state_service.cc
+++ b/tests/fakes/state_service.cc
@@ -152,8 +152,9 @@
     Fields condition(conditions.ptr[i]);
     std::string key = condition.Text("key");
     auto entry = entries_.find(key);
-    uint64_t stamp = entry == entries_.end() ? 0 : entry->second.stamp;
-    if (stamp != condition.Count("stamp")) failed.push_back(key);
+    uint64_t mod_revision =
+        entry == entries_.end() ? 0 : entry->second.mod_revision;
+    if (mod_revision != condition.Count("stamp")) failed.push_back(key);
   }
   // A put that hangs on an expired lease is refused whatever the conditions.
   for (uint32_t i = 0; i < writes.size; ++i) {
@@ -210,7 +211,7 @@
   out.Map(3).Key("rows").List(rows.size());
   for (const auto& [key, entry] : rows) {
     out.Map(3).Pair("key", key).Key("v").Raw(entry.value);
-    out.Pair("stamp", entry.stamp);
+    out.Pair("stamp", entry.mod_revision);
   }
   out.Pair("has_next", more).Pair("ledger", revision_);
   return {200, out.Take()};
@@ -222,11 +223,11 @@
   if (log_.size() > limits_.log_length) {
     log_.erase(log_.begin(),
                log_.end() - static_cast<ptrdiff_t>(limits_.log_length));
-    if (log_.front().stamp > from + 1) return Error(410, "too old");
+    if (log_.front().mod_revision > from + 1) return Error(410, "too old");
   }
   std::vector<const Logged*> changes;
   for (const Logged& change : log_) {
-    if (change.stamp > from && change.key.starts_with(prefix)) {
+    if (change.mod_revision > from && change.key.starts_with(prefix)) {
       changes.push_back(&change);
     }
   }
@@ -238,7 +239,7 @@
     } else {
       out.Map(2).Pair("drop", change->key);
     }
-    out.Pair("stamp", change->stamp);
+    out.Pair("stamp", change->mod_revision);
   }
   return {200, out.Take()};
 }
--- a/tests/fakes/state_service.h
+++ b/tests/fakes/state_service.h
@@ -27,7 +27,7 @@
   };
   struct Entry {
     std::string value;  // packed
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     uint64_t lease = 0;
   };
 
@@ -57,7 +57,7 @@
     std::string key;
     bool put = false;
     std::string value;
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
   };
 
   HttpReply Transact(const std::string& body, SteadyTime now);
--- a/tests/fakes/worker.cc
+++ b/tests/fakes/worker.cc
@@ -39,14 +39,14 @@
   changed_ = true;
 }
 
-void Worker::EndSession(SteadyTime now) {
+void Worker::EndAgentEpoch(SteadyTime now) {
   for (auto& [key, task] : tasks_) {
     if (!Occupies(task.state)) continue;
     observer_(key.first, TaskEvent::kLost);
     observer_(key.first, TaskEvent::kOff);
   }
   tasks_.clear();
-  ++session_;
+  ++agent_epoch_;
   lease_from_ = now;
   changed_ = true;
 }
@@ -54,7 +54,7 @@
 bool Worker::Advance(SteadyTime now) {
   // A hanging machine's tasks end with its lease too: it can do nothing else
   // when it resumes.
-  if (now - lease_from_ > config_.lease) EndSession(now);
+  if (now - lease_from_ > config_.lease) EndAgentEpoch(now);
   if (hanging) return false;
   for (auto& [key, task] : tasks_) {
     if (task.state == "exited" || now < task.next) continue;
@@ -93,8 +93,8 @@
   Packer out;
   out.Map(10).Pair("tine", config_.name).Pair("addr", config_.address);
   out.Pair("rig", config_.type).Pair("yard", config_.zone);
-  out.Pair("loaners", config_.spot).Pair("shift", session_);
-  out.Pair("tally", seq_).Pair("baton", token_).Key("recall_s");
+  out.Pair("loaners", config_.spot).Pair("shift", agent_epoch_);
+  out.Pair("tally", seq_).Pair("baton", fencing_token_).Key("recall_s");
   if (notice) {
     out.Value(ToSeconds(*notice));
   } else {
@@ -111,14 +111,14 @@
 }
 
 bool Worker::TakeAnswer(const std::string& body, SteadyTime sent,
-                        uint64_t session, SteadyTime now) {
-  if (hanging || session != session_) return false;
+                        uint64_t agent_epoch, SteadyTime now) {
+  if (hanging || agent_epoch != agent_epoch_) return false;
   try {
     Message message(body, kItems, kDepth);
-    uint64_t token = Fields(message.root()).CountOr("baton", 0);
-    if (token < token_ || token == 0) return false;
-    if (token > token_) changed_ = true;
-    token_ = std::max(token_, token);
+    uint64_t fencing_token = Fields(message.root()).CountOr("baton", 0);
+    if (fencing_token < fencing_token_ || fencing_token == 0) return false;
+    if (fencing_token > fencing_token_) changed_ = true;
+    fencing_token_ = std::max(fencing_token_, fencing_token);
   } catch (const Malformed&) {
     return false;
   }
@@ -135,11 +135,12 @@
   try {
     Message message(body, kItems, kDepth);
     Fields in(message.root());
-    uint64_t token = in.Count("baton");
-    bool current = in.Count("shift") == session_;
-    if (token < token_ || !current) return {409, MakeReport(now)};
-    if (token > token_) changed_ = true;
-    token_ = token;
+    uint64_t fencing_token = in.Count("baton");
+    bool current = in.Count("shift") == agent_epoch_;
+    if (fencing_token < fencing_token_ || !current)
+      return {409, MakeReport(now)};
+    if (fencing_token > fencing_token_) changed_ = true;
+    fencing_token_ = fencing_token;
   } catch (const Malformed& problem) {
     return Error(400, problem.what());
   }
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -1,5 +1,5 @@
 // A fake of a worker, written from the protocol: one machine, its tasks,
-// its lease and the highest token it has seen.
+// its lease and the highest fencing token it has seen.
 #ifndef PITCHFALL_TESTS_FAKES_WORKER_H_
 #define PITCHFALL_TESTS_FAKES_WORKER_H_
 
@@ -57,16 +57,16 @@
   bool Advance(SteadyTime now);
   std::string MakeReport(SteadyTime now);
   // The answer to the report made at `sent`; false if it had to be dropped.
-  bool TakeAnswer(const std::string& body, SteadyTime sent, uint64_t session,
-                  SteadyTime now);
+  bool TakeAnswer(const std::string& body, SteadyTime sent,
+                  uint64_t agent_epoch, SteadyTime now);
   HttpReply Handle(std::string_view method, const std::string& path,
                    const std::string& body, SteadyTime now);
 
   // Replicas that run end by themselves.
   void EndReplicas();
 
-  uint64_t session() const { return session_; }
-  uint64_t token() const { return token_; }
+  uint64_t agent_epoch() const { return agent_epoch_; }
+  uint64_t fencing_token() const { return fencing_token_; }
   const Config& config() const { return config_; }
   std::optional<Duration> notice;
   bool hanging = false;
@@ -85,7 +85,7 @@
   void Start(const Key& key, SteadyTime now);
   void Stop(const Key& key, Duration grace, SteadyTime now);
   void Exit(Task& task, const Key& key, const std::string& cause);
-  void EndSession(SteadyTime now);
+  void EndAgentEpoch(SteadyTime now);
 
   Config config_;
   Lookup lookup_;
@@ -93,9 +93,9 @@
   std::map<Key, Task> tasks_;
   std::map<std::string, bool> finished_;
   std::map<std::string, bool> images_;
-  uint64_t session_ = 1;
+  uint64_t agent_epoch_ = 1;
   uint64_t seq_ = 0;
-  uint64_t token_ = 0;
+  uint64_t fencing_token_ = 0;
   SteadyTime lease_from_{};
   bool changed_ = true;
 };
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -117,8 +117,8 @@
        [](World& world) { EXPECT_EQ(world.lost_with_lease(), 0); });
 }
 
-// One that is back in the middle may have told users in its former life what
-// nobody here knows: then the bound counts from the last read, and work is
+// One that is back in the middle may have told users in its former incarnation
+// what nobody here knows: then the bound counts from the last read, and work is
 // lost.
 TEST(Gap, ARestartedControllerDoesNotVouch) {
   Play([](WorldConfig& config) { config.nodes = 5; },
@@ -237,7 +237,7 @@
       });
 }
 
-TEST(Meeting, OldReportsArriveAfterNewerOnesAndFromEarlierSessions) {
+TEST(Meeting, OldHeartbeatsArriveAfterNewerOnesAndFromEarlierAgentEpochs) {
   Play(
       [](WorldConfig& config) {
         config.late_report = 0.5;
--- a/tests/operations_test.cc
+++ b/tests/operations_test.cc
@@ -36,7 +36,7 @@
 }
 
 // Its clocks run on: what it finds on waking (reports, requests, its own lease
-// and token) is a minute old and more.
+// and fencing token) is a minute old and more.
 TEST(Operations, AControllerStandsStillForAMinuteAndMore) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     WorldConfig config = CalmConfig(seed);
@@ -75,15 +75,15 @@
     world.Run();
     ExpectRulesKept(world);
     // The first few are sent back to it; without the hint that workers with
-    // its token cannot reach it 20 to 36 tasks were lost.
+    // its fencing token cannot reach it 20 to 36 tasks were lost.
     EXPECT_LE(world.lost_with_lease(), 8) << world.Told();
   }
 }
 
 // One controller owns all partitions for a minute and a half, and they want to
 // write more often than the state service allows: each gets its turn. Without
-// turns the first one took every token as soon as it came, and the others
-// stored nothing for as long as that lasted.
+// turns the first one took every token as soon as it came, and the
+// others stored nothing for as long as that lasted.
 TEST(Operations, PartitionsOfOneOwnerTakeTurnsToWrite) {
   constexpr uint32_t kPartitions = 3;
   for (uint64_t seed = 1; seed <= 3; ++seed) {
--- a/tests/playground/platform.cc
+++ b/tests/playground/platform.cc
@@ -163,7 +163,7 @@
 
 void Platform::Report(Box& box) {
   SteadyTime sent = Now();
-  uint64_t session = box.worker->session();
+  uint64_t agent_epoch = box.worker->agent_epoch();
   box.waiting = true;
   wire::HttpRequest request;
   request.post = true;
@@ -171,12 +171,12 @@
   request.body = box.worker->MakeReport(sent);
   box.nodes[box.node]->Send(
       std::move(request), kReportWait,
-      [this, &box, sent, session](int status, std::string_view body) {
+      [this, &box, sent, agent_epoch](int status, std::string_view body) {
         SteadyTime now = Now();
         box.waiting = false;
         box.next_report = now + kReport;
         if (status == 200) {
-          box.worker->TakeAnswer(std::string(body), sent, session, now);
+          box.worker->TakeAnswer(std::string(body), sent, agent_epoch, now);
           return;
         }
         std::string owner;
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -60,9 +60,9 @@
   to.type = report.type;
   to.zone = report.zone;
   to.spot = report.spot;
-  to.session = report.session;
+  to.session = report.agent_epoch;
   to.seq = report.seq;
-  to.token = report.token;
+  to.token = report.fencing_token;
   to.notice = report.notice;
   for (const ReportedTask& task : report.tasks) {
     to.tasks.push_back({task.job, task.task, task.attempt,
--- a/tests/sim/world.cc
+++ b/tests/sim/world.cc
@@ -80,7 +80,7 @@
 
 struct World::Node {
   size_t index = 0;
-  uint64_t life = 0;
+  uint64_t incarnation = 0;
   std::unique_ptr<SimulatedController> controller;
   bool upgraded = false;  // if it began with the version in production
   Duration skew{0};
@@ -250,7 +250,7 @@
 
 void World::StartNode(size_t index) {
   Node& node = *nodes_[index];
-  ++node.life;
+  ++node.incarnation;
   Deployment d = deployment_;
   d.label = Label(index);
   for (size_t i = 0; i < config_.nodes; ++i) {
@@ -260,25 +260,27 @@
   tuning.partition_count = config_.partition_count;
   tuning.node_lease = Seconds(2);
   tuning.chunk_tasks = 4;
-  ControllerSetup setup{d, tuning, fmt::format("{}x{}", index, node.life)};
+  ControllerSetup setup{d, tuning,
+                        fmt::format("{}x{}", index, node.incarnation)};
   bool old_version = RunsProduction(node);
   node.controller = old_version ? MakeProductionController(setup)
                                 : MakeCurrentController(setup);
-  Note(fmt::format("node {} starts, life {}{}", index, node.life,
+  Note(fmt::format("node {} starts, life {}{}", index, node.incarnation,
                    old_version ? ", version in production" : ""));
-  uint64_t life = node.life;
-  After(Duration(0), [this, index, life] { TickNode(index, life); });
+  uint64_t incarnation = node.incarnation;
+  After(Duration(0),
+        [this, index, incarnation] { TickNode(index, incarnation); });
 }
 
 bool World::RunsProduction(const Node& node) const {
   return config_.begins_with_production && !node.upgraded;
 }
 
-void World::TickNode(size_t index, uint64_t life) {
+void World::TickNode(size_t index, uint64_t incarnation) {
   Node& node = *nodes_[index];
-  if (node.life != life || !node.controller) return;
-  Deliver(index, life, Command(Tick{}));
-  After(kTick, [this, index, life] { TickNode(index, life); });
+  if (node.incarnation != incarnation || !node.controller) return;
+  Deliver(index, incarnation, Command(Tick{}));
+  After(kTick, [this, index, incarnation] { TickNode(index, incarnation); });
 }
 
 void World::CrashNode(size_t index, Duration down) {
@@ -292,22 +294,23 @@
   });
 }
 
-void World::Deliver(size_t index, uint64_t life, ControllerInput input) {
+void World::Deliver(size_t index, uint64_t incarnation, ControllerInput input) {
   Node& node = *nodes_[index];
-  if (!node.controller || node.life != life) return;
+  if (!node.controller || node.incarnation != incarnation) return;
   const auto* command = std::get_if<Command>(&input);
   bool tick = command != nullptr && std::holds_alternative<Tick>(*command);
   if (now_ < node.frozen_until) {
     if (tick) return;
-    After(node.frozen_until - now_, [this, index, life, i = std::move(input)] {
-      Deliver(index, life, i);
-    });
+    After(node.frozen_until - now_,
+          [this, index, incarnation, i = std::move(input)] {
+            Deliver(index, incarnation, i);
+          });
     return;
   }
   if (now_ < node.slow_until && !tick) {
-    After(Between(0.1, 0.6), [this, index, life, i = std::move(input)] {
+    After(Between(0.1, 0.6), [this, index, incarnation, i = std::move(input)] {
       Node& n = *nodes_[index];
-      if (n.controller && n.life == life) Execute(n, i);
+      if (n.controller && n.incarnation == incarnation) Execute(n, i);
     });
     return;
   }
@@ -343,8 +346,10 @@
         now_ < node.peer_cut_until || now_ < nodes_[i]->peer_cut_until) {
       continue;
     }
-    uint64_t life = nodes_[i]->life;
-    After(Hop(), [this, i, life, message] { Deliver(i, life, message); });
+    uint64_t incarnation = nodes_[i]->incarnation;
+    After(Hop(), [this, i, incarnation, message] {
+      Deliver(i, incarnation, message);
+    });
   }
 }
 
@@ -369,12 +374,13 @@
 World::Answer World::AnswerOnce(const Node& node, const Call& call,
                                 Decode decode) {
   auto answered = std::make_shared<bool>(false);
-  Answer answer = [this, index = node.index, life = node.life, id = call.call,
-                   decode, answered](int status, const std::string& body) {
+  Answer answer = [this, index = node.index, incarnation = node.incarnation,
+                   id = call.call, decode,
+                   answered](int status, const std::string& body) {
     if (std::exchange(*answered, true)) return;
     auto reply = decode(status, body);
     reply.call = id;
-    Deliver(index, life, ControllerInput(std::move(reply)));
+    Deliver(index, incarnation, ControllerInput(std::move(reply)));
   };
   After(call.timeout, [answer] { answer(0, ""); });
   return answer;
@@ -520,7 +526,7 @@
       if (CutOff(index, machine)) return;
       After(Hop(), [answer, reply] { answer(reply); });
     };
-    Deliver(index, n.life, ControllerInput(make(id)));
+    Deliver(index, n.incarnation, ControllerInput(make(id)));
   });
 }
 
@@ -588,7 +594,7 @@
   box.waiting = true;
   box.last_report = now_;
   uint64_t number = ++box.report_number;
-  uint64_t session = box.worker->session();
+  uint64_t agent_epoch = box.worker->agent_epoch();
   std::string body = box.worker->MakeReport(now_);
   size_t target = box.node;
   SteadyTime sent = now_;
@@ -603,7 +609,8 @@
   }
   if (Disturbed(kept_reports_)) KeepReport(name, make);
   Ask(target, make, kReportWait, name,
-      [this, name, number, session, sent](const std::optional<Reply>& given) {
+      [this, name, number, agent_epoch,
+       sent](const std::optional<Reply>& given) {
         std::optional<Reply> reply = given;
         auto it = machines_.find(name);
         if (it == machines_.end() || it->second->report_number != number) {
@@ -618,7 +625,7 @@
             now_ + Between(0.75 * config_.report_s, 1.25 * config_.report_s);
         if (reply && reply->status == 200) {
           std::string answer = wire::EncodeReplyBody(reply->body);
-          b.worker->TakeAnswer(answer, sent, session, now_);
+          b.worker->TakeAnswer(answer, sent, agent_epoch, now_);
           return;
         }
         b.next_report = now_ + Seconds(1);
@@ -1014,9 +1021,9 @@
   return now_ < window.until && Chance() < window.share;
 }
 
-uint64_t World::OwnerStamp(uint32_t partition) const {
+uint64_t World::OwnerModRevision(uint32_t partition) const {
   auto entry = state_.entries().find(keys::Partition(partition));
-  return entry == state_.entries().end() ? 0 : entry->second.stamp;
+  return entry == state_.entries().end() ? 0 : entry->second.mod_revision;
 }
 
 void World::KeepReport(const std::string& machine, const MakeCommand& report) {
@@ -1024,15 +1031,15 @@
                                  ? config_.partition_count
                                  : static_cast<uint32_t>(config_.nodes);
   uint32_t partition = PartitionOf(machine, partition_count);
-  AwaitNextOwner(machine, report, partition, OwnerStamp(partition));
+  AwaitNextOwner(machine, report, partition, OwnerModRevision(partition));
 }
 
 void World::AwaitNextOwner(const std::string& machine,
                            const MakeCommand& report, uint32_t partition,
-                           uint64_t stamp) {
-  if (OwnerStamp(partition) == stamp) {
-    After(Millis(50), [this, machine, report, partition, stamp] {
-      AwaitNextOwner(machine, report, partition, stamp);
+                           uint64_t mod_revision) {
+  if (OwnerModRevision(partition) == mod_revision) {
+    After(Millis(50), [this, machine, report, partition, mod_revision] {
+      AwaitNextOwner(machine, report, partition, mod_revision);
     });
     return;
   }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -217,7 +217,7 @@
   // Tasks that started after their user had been told that the job is
   // cancelled, a start that was on its way by then included.
   int starts_after_cancellation() const { return starts_after_cancellation_; }
-  // Tasks lost with a session that ended because nobody answered in time.
+  // Tasks lost with a agent epoch that ended because nobody answered in time.
   int lost_with_lease() const { return lost_with_lease_; }
   int cancelled() const;
   int starts_of(const std::string& job) const;
@@ -250,8 +250,8 @@
   // Controllers.
   void StartNode(size_t index);
   bool RunsProduction(const Node& node) const;
-  void TickNode(size_t index, uint64_t life);
-  void Deliver(size_t index, uint64_t life, ControllerInput input);
+  void TickNode(size_t index, uint64_t incarnation);
+  void Deliver(size_t index, uint64_t incarnation, ControllerInput input);
   void Execute(Node& node, const ControllerInput& input);
   void TellPeers(const Node& node, const EncodedPeerMessage& message);
   void Perform(Node& node, const Effect& effect);
@@ -317,8 +317,8 @@
   bool Disturbed(const FaultWindow& window);
   void KeepReport(const std::string& machine, const MakeCommand& report);
   void AwaitNextOwner(const std::string& machine, const MakeCommand& report,
-                      uint32_t partition, uint64_t stamp);
-  uint64_t OwnerStamp(uint32_t partition) const;
+                      uint32_t partition, uint64_t mod_revision);
+  uint64_t OwnerModRevision(uint32_t partition) const;
   void AskEverybody(const std::string& id);
   void PollOnce(size_t index, const std::string& id);
   void SubmitOnce(size_t index, const std::string& id);
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -211,8 +211,8 @@
   }
 }
 
-// Processes that are back within a fraction of a second, their former life's
-// key still there, in the middle of whatever was going on.
+// Processes that are back within a fraction of a second, their former
+// incarnation's key still there, in the middle of whatever was going on.
 TEST(QuickRestarts, KeepTheRules) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     WorldConfig config;
