--- a/src/cli/deployment_file.cc
+++ b/src/cli/deployment_file.cc
@@ -172,7 +172,7 @@
     d.objectives.push_back(std::move(objective));
   }
   Table workers = cluster.Child("workers");
-  d.report = Seconds(workers.Number("report_s", 0.01, kMost));
+  d.heartbeat_interval = Seconds(workers.Number("report_s", 0.01, kMost));
   d.worker_lease = Seconds(workers.Number("lease_s", 0.1, kMost));
   d.cancel = Seconds(workers.Number("cancel_s", 0.1, kMost));
   if (d.cancel <= d.worker_lease) {
--- a/src/cli/tuning_file.cc
+++ b/src/cli/tuning_file.cc
@@ -30,7 +30,7 @@
     {"node-lease", 0.5, 60, &Tuning::node_lease},
     {"state-timeout", 0.1, 10, &Tuning::state_timeout},
     {"cloud-timeout", 0.5, 60, &Tuning::cloud_timeout},
-    {"hold-report", 0, 3, &Tuning::hold_report},
+    {"hold-report", 0, 3, &Tuning::heartbeat_hold},
     {"idle-before-return", 0, 3600, &Tuning::idle_before_return},
     {"max-machines", 0, 100000, &Tuning::max_machines},
     {"parts", 0, 64, &Tuning::partition_count},
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -7,13 +7,13 @@
 #include <string>
 
 #include "core/budget.h"
-#include "core/follower.h"
-#include "core/mirror.h"
+#include "core/cancellation_watermark.h"
 #include "core/outbox.h"
 #include "core/room.h"
 #include "core/settings.h"
+#include "core/state_cache.h"
 #include "core/state_limits.h"
-#include "core/vouchers.h"
+#include "core/state_watcher.h"
 
 namespace pitchfall {
 
@@ -21,19 +21,19 @@
   const Deployment& deployment;
   const Tuning& tuning;
   Outbox& out;
-  Mirror& mirror;
-  Follower& follower;
+  StateCache& state_cache;
+  StateWatcher& state_watcher;
   TokenBucket& requests;     // to the state service
   TokenBucket& writes;       // puts and deletes there
   TokenBucket& cloud;        // calls to the cloud
   std::string incarnation;   // names this process among all that ever ran
   uint32_t partition_count;  // how many there are
   RoomBook room;
-  Vouchers vouchers;
+  CancellationWatermark cancellation_watermark;
   StateLimits state_limits;  // of every write
   // Jobs that another controller has stored as cancelled and whose records here
   // do not show it yet. Cancelled jobs stay so, whatever is heard later.
-  std::set<std::string> told_cancelled{};
+  std::set<std::string> cancelled_by_peers{};
 
   SteadyTime now() const { return out.now().steady; }
 };
--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -8,9 +8,9 @@
 namespace pitchfall {
 namespace {
 
-constexpr Duration kHelloGap = Millis(500);
+constexpr Duration kHeartbeatInterval = Millis(500);
 // After storing a cancellation; more than one in that time share a message.
-constexpr Duration kUrgentHelloGap = Millis(50);
+constexpr Duration kUrgentHeartbeatInterval = Millis(50);
 constexpr Duration kPeerFresh = Millis(2500);
 // A worker whose owner does not answer waits four seconds for it, tries the
 // next controller a second later, and is sent back within half a second.
@@ -37,13 +37,13 @@
       requests_(state_rates_.rps / 3, state_rates_.rps / 3),
       writes_(state_rates_.write_rps / 3, state_rates_.write_rps / 3),
       cloud_(deployment_.cloud_rps / 2, deployment_.cloud_rps),
-      follower_(tuning_, out_, mirror_, requests_),
+      state_watcher_(tuning_, out_, state_cache_, requests_),
       context_{
           deployment_,
           tuning_,
           out_,
-          mirror_,
-          follower_,
+          state_cache_,
+          state_watcher_,
           requests_,
           writes_,
           cloud_,
@@ -54,7 +54,7 @@
           RoomBook(tuning_.partition_count > 0
                        ? tuning_.partition_count
                        : static_cast<uint32_t>(deployment_.peers.size() + 1)),
-          Vouchers(deployment_, deployment_.label, incarnation),
+          CancellationWatermark(deployment_, deployment_.label, incarnation),
           StateLimits(deployment_)},
       ownership_(context_),
       users_(context_) {}
@@ -66,8 +66,8 @@
   for (const Command& command : commands) {
     std::visit([this](const auto& c) { On(c); }, command);
   }
-  std::erase_if(context_.told_cancelled, [this](const std::string& id) {
-    const Job* job = mirror_.FindJob(id);
+  std::erase_if(context_.cancelled_by_peers, [this](const std::string& id) {
+    const Job* job = state_cache_.FindJob(id);
     return job != nullptr && job->record.final();
   });
   ShareBudgets();
@@ -76,9 +76,9 @@
   StepPartitions();
   if (fleet_) fleet_->Step();
   users_.Step();
-  ExchangeHellos();
+  ExchangeHeartbeats();
   ConsiderStrays();
-  follower_.Step();
+  state_watcher_.Step();
   std::vector<Effect> effects = out_.TakeEffects();
   if (!Healthy()) SendElsewhere(effects);
   return effects;
@@ -99,7 +99,7 @@
 // ever.
 void Controller::CompareWithStored() {
   if (std::exchange(compared_, true)) return;
-  uint32_t stored = mirror_.PartitionCount();
+  uint32_t stored = state_cache_.PartitionCount();
   if (stored <= context_.partition_count) return;
   out_.Log(LogLevel::kError,
            "event=partition_count_mismatch stored={} now={} remedy=\"set "
@@ -109,7 +109,7 @@
 }
 
 void Controller::FollowOwnership() {
-  if (!follower_.loaded()) return;
+  if (!state_watcher_.loaded()) return;
   CompareWithStored();
   for (uint32_t number = 0; number < context_.partition_count; ++number) {
     std::optional<uint64_t> fencing_token = ownership_.FencingTokenOf(number);
@@ -132,13 +132,13 @@
 // owner of many partitions needs more than one of none.
 void Controller::ShareBudgets() {
   double nodes =
-      std::max<double>(1, static_cast<double>(mirror_.nodes().size()));
+      std::max<double>(1, static_cast<double>(state_cache_.nodes().size()));
   double requests = 0;
   double writes = 0;
   for (const auto& [label, peer] : peers_) {
     bool known = out_.now().steady - peer.heard < kPeerFresh;
-    requests += known ? peer.hello.requests : state_rates_.rps / nodes;
-    writes += known ? peer.hello.writes : state_rates_.write_rps / nodes;
+    requests += known ? peer.heartbeat.requests : state_rates_.rps / nodes;
+    writes += known ? peer.heartbeat.writes : state_rates_.write_rps / nodes;
   }
   auto share = [&](double total, double others) {
     return std::max(kUsable * total - others, 0.8 * total / nodes);
@@ -165,12 +165,12 @@
 // the others either cannot tell, and is more likely cut off than all of them
 // gone.
 bool Controller::Healthy() const {
-  if (!follower_.loaded()) return false;
-  if (follower_.Age() < kHealthyAge) return true;
+  if (!state_watcher_.loaded()) return false;
+  if (state_watcher_.Age() < kHealthyAge) return true;
   bool heard = deployment_.peers.empty();
   for (const auto& [label, peer] : peers_) {
     if (out_.now().steady - peer.heard >= kPeerFresh) continue;
-    if (peer.hello.state_age < kHealthyAge) return false;
+    if (peer.heartbeat.state_age < kHealthyAge) return false;
     heard = true;
   }
   return heard;
@@ -185,25 +185,25 @@
   }
 }
 
-void Controller::On(const CheckIn& command) {
+void Controller::On(const ReceiveWorkerHeartbeat& command) {
   uint32_t number =
-      PartitionOf(command.report.machine, context_.partition_count);
+      PartitionOf(command.heartbeat.machine, context_.partition_count);
   auto partition = partitions_.find(number);
   if (partition != partitions_.end()) {
-    strays_.erase(command.report.machine);
-    partition->second->CheckIn(command.request, command.report);
+    strays_.erase(command.heartbeat.machine);
+    partition->second->OnWorkerHeartbeat(command.request, command.heartbeat);
     return;
   }
   SteadyTime now = out_.now().steady;
   Stray& stray =
-      strays_.try_emplace(command.report.machine, Stray{number, now, now})
+      strays_.try_emplace(command.heartbeat.machine, Stray{number, now, now})
           .first->second;
   stray.partition = number;
   stray.last = now;
-  const auto* stored = mirror_.FindPartition(number);
-  stray.lost_owner =
-      stored != nullptr && command.report.fencing_token == stored->mod_revision;
-  std::string owner = follower_.Fresh() ? ownership_.OwnerOf(number) : "";
+  const auto* stored = state_cache_.FindPartition(number);
+  stray.lost_owner = stored != nullptr &&
+                     command.heartbeat.fencing_token == stored->mod_revision;
+  std::string owner = state_watcher_.Fresh() ? ownership_.OwnerOf(number) : "";
   if (stray.lost_owner && StraysOf(number) >= kManyStrays) {
     // To send so many back would cost each another wait, and its lease. Going
     // round they find whoever the partition is handed to.
@@ -215,91 +215,95 @@
   }
 }
 
-void Controller::On(const PeerHello& hello) {
+void Controller::On(const PeerHeartbeat& heartbeat) {
   // A cut can hold messages back for minutes.
-  Duration age = out_.now().wall - hello.sent;
+  Duration age = out_.now().wall - heartbeat.sent;
   if (age > kPeerFresh + 2 * deployment_.time_bound) return;
   SteadyTime now = out_.now().steady;
-  peers_[hello.label] = {hello, now};
-  for (const auto& [partition, free] : hello.free) {
-    context_.room.Hear(partition, free, now);
+  peers_[heartbeat.label] = {heartbeat, now};
+  for (const auto& [partition, free] : heartbeat.free) {
+    context_.room.Update(partition, free, now);
   }
-  for (const std::string& id : hello.cancelled) {
-    const Job* job = mirror_.FindJob(id);
+  for (const std::string& id : heartbeat.cancelled) {
+    const Job* job = state_cache_.FindJob(id);
     if (job != nullptr && job->record.final()) continue;
-    context_.told_cancelled.insert(id);
+    context_.cancelled_by_peers.insert(id);
   }
-  context_.vouchers.Hear(hello, now, follower_.known_at());
-  for (const auto& [number, fencing_token] : hello.tokens) {
+  context_.cancellation_watermark.OnPeerHeartbeat(
+      heartbeat, now, state_watcher_.current_as_of());
+  for (const auto& [number, fencing_token] : heartbeat.tokens) {
     auto partition = partitions_.find(number);
     if (partition != partitions_.end())
-      partition->second->HearOwner(hello.label, fencing_token);
+      partition->second->OnPeerClaim(heartbeat.label, fencing_token);
   }
 }
 
-void Controller::ExchangeHellos() {
+void Controller::ExchangeHeartbeats() {
   SteadyTime now = out_.now().steady;
-  bool urgent = users_.cancelled() != told_cancelled_ &&
-                now - last_hello_ >= kUrgentHelloGap;
-  if (now < next_hello_ && !urgent) return;
-  told_cancelled_ = users_.cancelled();
-  double passed = std::max(0.1, ToSeconds(now - last_hello_));
-  last_hello_ = now;
-  next_hello_ = now + kHelloGap;
-  PeerHello hello;
-  hello.label = deployment_.label;
-  hello.incarnation = context_.incarnation;
-  hello.sent = out_.now().wall;
-  hello.state_age = follower_.loaded() ? follower_.Age() : kNeverRead;
+  bool urgent = users_.cancelled() != announced_cancellations_ &&
+                now - last_heartbeat_ >= kUrgentHeartbeatInterval;
+  if (now < next_heartbeat_ && !urgent) return;
+  announced_cancellations_ = users_.cancelled();
+  double passed = std::max(0.1, ToSeconds(now - last_heartbeat_));
+  last_heartbeat_ = now;
+  next_heartbeat_ = now + kHeartbeatInterval;
+  PeerHeartbeat heartbeat;
+  heartbeat.label = deployment_.label;
+  heartbeat.incarnation = context_.incarnation;
+  heartbeat.sent = out_.now().wall;
+  heartbeat.state_age =
+      state_watcher_.loaded() ? state_watcher_.Age() : kNeverRead;
   // Smoothed over about two seconds.
   auto follow = [passed](double& rate, double& before, double taken) {
     rate += (std::max(0.0, taken - before) / passed - rate) * 0.25;
     before = taken;
     return rate;
   };
-  hello.requests = follow(request_use_, requests_taken_, requests_.taken());
-  hello.writes = follow(write_use_, writes_taken_, writes_.taken());
-  hello.strays.assign(context_.partition_count, 0);
-  Duration recent = std::max(3 * deployment_.report, 2 * kWorkerRound);
+  heartbeat.requests = follow(request_use_, requests_taken_, requests_.taken());
+  heartbeat.writes = follow(write_use_, writes_taken_, writes_.taken());
+  heartbeat.strays.assign(context_.partition_count, 0);
+  Duration recent =
+      std::max(3 * deployment_.heartbeat_interval, 2 * kWorkerRound);
   std::erase_if(strays_, [&](const auto& entry) {
     return now - entry.second.last > recent;
   });
   for (uint32_t partition = 0; partition < context_.partition_count;
        ++partition) {
-    hello.strays[partition] = StraysOf(partition);
+    heartbeat.strays[partition] = StraysOf(partition);
   }
   for (const auto& [number, partition] : partitions_) {
-    hello.free[number] = partition->Free();
-    context_.room.Hear(number, hello.free[number], now);
+    heartbeat.free[number] = partition->Free();
+    context_.room.Update(number, heartbeat.free[number], now);
   }
-  Vouch(hello);
-  out_.Send(std::move(hello));
+  AddCancellationEchoes(heartbeat);
+  out_.Send(std::move(heartbeat));
 }
 
-void Controller::Vouch(PeerHello& hello) const {
+void Controller::AddCancellationEchoes(PeerHeartbeat& heartbeat) const {
   SteadyTime now = out_.now().steady;
-  hello.uptime = now - started_;
-  hello.revision = mirror_.revision();
-  hello.mark = now;
+  heartbeat.uptime = now - started_;
+  heartbeat.revision = state_cache_.revision();
+  heartbeat.sender_time = now;
   for (const auto& [number, partition] : partitions_) {
-    hello.tokens[number] = partition->fencing_token();
+    heartbeat.tokens[number] = partition->fencing_token();
   }
   // One list serves all: what is new to the one who knows least. Who cannot be
   // served with the others gets no echo.
   std::vector<std::pair<uint64_t, const Peer*>> by_revision;
   for (const auto& [label, peer] : peers_) {
     if (now - peer.heard >= kPeerFresh) continue;
-    by_revision.push_back({peer.hello.revision, &peer});
+    by_revision.push_back({peer.heartbeat.revision, &peer});
   }
   // Peers of equal revision stay in the order of their labels.
   std::ranges::stable_sort(by_revision, std::ranges::greater{},
                            [](const auto& entry) { return entry.first; });
   for (const auto& [revision, peer] : by_revision) {
-    auto cancelled = mirror_.CancelledSince(revision, kMostCancelled);
+    auto cancelled = state_cache_.CancelledSince(revision, kMostCancelled);
     if (!cancelled) break;
-    hello.cancelled = std::move(*cancelled);
-    hello.echoes.push_back(
-        {peer->hello.label, peer->hello.incarnation, peer->hello.mark});
+    heartbeat.cancelled = std::move(*cancelled);
+    heartbeat.echoes.push_back({peer->heartbeat.label,
+                                peer->heartbeat.incarnation,
+                                peer->heartbeat.sender_time});
   }
 }
 
@@ -310,7 +314,7 @@
         const Stray& stray = entry.second;
         return stray.partition == partition &&
                (stray.lost_owner ||
-                stray.last - stray.first > deployment_.report);
+                stray.last - stray.first > deployment_.heartbeat_interval);
       }));
 }
 
@@ -318,14 +322,15 @@
 // owner has heard none of them for a while and a peer has, the peer takes over.
 void Controller::ConsiderStrays() {
   SteadyTime now = out_.now().steady;
-  // Reports of a whole partition that fail to come for one and a half
+  // Heartbeats of a whole partition that fail to come for one and a half
   // intervals.
-  Duration patience = deployment_.report * 3 / 2 + Millis(500);
+  Duration patience = deployment_.heartbeat_interval * 3 / 2 + Millis(500);
   for (const auto& [number, partition] : partitions_) {
     if (now - partition->last_heard() < patience) continue;
     for (const auto& [label, peer] : peers_) {
-      if (now - peer.heard > kPeerFresh || peer.hello.strays.size() <= number ||
-          peer.hello.strays[number] == 0) {
+      if (now - peer.heard > kPeerFresh ||
+          peer.heartbeat.strays.size() <= number ||
+          peer.heartbeat.strays[number] == 0) {
         continue;
       }
       ownership_.HandOver(number, label, true);
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -28,11 +28,11 @@
   // done. A Tick should come at least every few tens of milliseconds.
   std::vector<Effect> Handle(Now now, std::span<const Command> commands);
 
-  const Mirror& mirror() const { return mirror_; }
+  const StateCache& state_cache() const { return state_cache_; }
 
  private:
   struct Peer {
-    PeerHello hello;
+    PeerHeartbeat heartbeat;
     SteadyTime heard{};
   };
 
@@ -44,21 +44,21 @@
     users_.Cancel(command.request, command.job);
   }
   void On(const HealthCheck& command);
-  void On(const CheckIn& command);
+  void On(const ReceiveWorkerHeartbeat& command);
   void On(const StateReply& reply) { out_.Handle(reply); }
   void On(const CloudReply& reply) { out_.Handle(reply); }
   void On(const WorkerReply& reply) { out_.Handle(reply); }
-  void On(const PeerHello& hello);
+  void On(const PeerHeartbeat& heartbeat);
   void On(const Tick&) {}
 
   void FollowOwnership();
   void StepPartitions();
   void CompareWithStored();
   void ShareBudgets();
-  void ExchangeHellos();
+  void ExchangeHeartbeats();
   // What lets the others go on answering their workers, and stop what has been
   // cancelled, without the state service.
-  void Vouch(PeerHello& hello) const;
+  void AddCancellationEchoes(PeerHeartbeat& heartbeat) const;
   void ConsiderStrays();
   // Workers that came here lately because they could not reach the partition's
   // owner.
@@ -69,12 +69,12 @@
   const Deployment deployment_;
   const Tuning tuning_;
   Outbox out_;
-  Mirror mirror_;
+  StateCache state_cache_;
   const Deployment::StateServiceLimits state_rates_;
   TokenBucket requests_;
   TokenBucket writes_;
   TokenBucket cloud_;
-  Follower follower_;
+  StateWatcher state_watcher_;
   Context context_;
   Ownership ownership_;
   Users users_;
@@ -91,9 +91,9 @@
     bool lost_owner = false;
   };
   std::map<std::string, Stray> strays_;
-  SteadyTime next_hello_{};
-  SteadyTime last_hello_{};
-  uint64_t told_cancelled_ = 0;  // of the cancellations stored here
+  SteadyTime next_heartbeat_{};
+  SteadyTime last_heartbeat_{};
+  uint64_t announced_cancellations_ = 0;  // of the cancellations stored here
   double request_use_ = 0;
   double requests_taken_ = 0;
   double write_use_ = 0;
--- a/src/core/demand.cc
+++ b/src/core/demand.cc
@@ -69,13 +69,14 @@
   return std::min(1.0, run / left);
 }
 
-Demand MeasureDemand(const Mirror& mirror, const Deployment& deployment,
+Demand MeasureDemand(const StateCache& state_cache,
+                     const Deployment& deployment,
                      const std::set<std::string>& failing, WallTime now,
                      uint32_t partition_count,
                      std::optional<uint32_t> partition) {
   Demand demand;
   std::map<std::string, Resources> used;
-  for (const auto& [id, job] : mirror.open_jobs()) {
+  for (const auto& [id, job] : state_cache.open_jobs()) {
     used[job->spec().team] +=
         job->spec().need * static_cast<int64_t>(job->assigned);
   }
@@ -84,7 +85,7 @@
     demand.requested += room;
     if (!spec.spot) demand.ordinary_only += room;
   };
-  for (const Job* job : OrderJobs(mirror, now, deployment)) {
+  for (const Job* job : OrderJobs(state_cache, now, deployment)) {
     const JobSpec& spec = job->spec();
     JobShare share = ShareOf(*job, partition_count, partition);
     add(spec, share.running, 1);
@@ -121,11 +122,11 @@
   return demand;
 }
 
-std::set<std::string> FailingJobs(const Mirror& mirror,
+std::set<std::string> FailingJobs(const StateCache& state_cache,
                                   uint32_t partition_count) {
   std::set<std::string> failing;
   for (uint32_t partition = 0; partition < partition_count; ++partition) {
-    if (const auto* load = mirror.FindLoad(partition)) {
+    if (const auto* load = state_cache.FindLoad(partition)) {
       failing.insert(load->value.failing.begin(), load->value.failing.end());
     }
   }
--- a/src/core/demand.h
+++ b/src/core/demand.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "core/mirror.h"
 #include "core/settings.h"
+#include "core/state_cache.h"
 
 namespace pitchfall {
 
@@ -31,13 +31,14 @@
 // ask for nothing beyond what is running. Each job's waiting tasks ask for room
 // in proportion to their pressure. With `partition`, only the share of chunks
 // that this partition has claimed or will be offered first.
-Demand MeasureDemand(const Mirror& mirror, const Deployment& deployment,
+Demand MeasureDemand(const StateCache& state_cache,
+                     const Deployment& deployment,
                      const std::set<std::string>& failing, WallTime now,
                      uint32_t partition_count,
                      std::optional<uint32_t> partition);
 
-// The jobs that the partitions' newest reports call failing.
-std::set<std::string> FailingJobs(const Mirror& mirror,
+// The jobs that the partitions' newest heartbeats call failing.
+std::set<std::string> FailingJobs(const StateCache& state_cache,
                                   uint32_t partition_count);
 
 }  // namespace pitchfall
--- a/src/core/displacement.cc
+++ b/src/core/displacement.cc
@@ -17,7 +17,7 @@
 };
 
 // A task that can save loses what saving takes; any other all that it has done.
-double LostWork(const HeldTask& task, SteadyTime now) {
+double LostWork(const BoundAttempt& task, SteadyTime now) {
   if (!task.running_since) return 0;
   const JobSpec& spec = task.job->spec();
   Duration ran = now - *task.running_since;
@@ -29,7 +29,7 @@
 std::vector<Candidate> Candidates(const JobSpec& spec, const Machine& machine,
                                   SteadyTime now) {
   std::vector<Candidate> candidates;
-  for (const auto& [key, task] : machine.held) {
+  for (const auto& [key, task] : machine.bound) {
     const JobSpec& other = task.job->spec();
     if (task.stop() || task.ending || other.priority >= spec.priority) continue;
     candidates.push_back(
@@ -43,7 +43,7 @@
 
 Resources ExpectedRoom(const Machine& machine) {
   Resources room = machine.Free();
-  for (const auto& [key, task] : machine.held) {
+  for (const auto& [key, task] : machine.bound) {
     if (task.stop() && !task.ending) room += task.job->spec().need;
   }
   return room;
@@ -112,7 +112,7 @@
   Machine& machine = *displacement.machine;
   Resources& room = expected_room_[&machine];
   for (const TaskKey& key : displacement.tasks) {
-    HeldTask& task = machine.held.at(key);
+    BoundAttempt& task = machine.bound.at(key);
     task.displaced = true;
     room += task.job->spec().need;
     out_.Log(LogLevel::kInfo, "event=displace job={} task={} machine={} for={}",
--- a/src/core/displacement.h
+++ b/src/core/displacement.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <vector>
 
-#include "core/machines.h"
+#include "core/machine.h"
 #include "core/outbox.h"
 #include "core/placement.h"
 #include "core/resources.h"
--- a/src/core/fencing_token_announcer.cc
+++ b/src/core/fencing_token_announcer.cc
@@ -37,7 +37,7 @@
 void FencingTokenAnnouncer::FetchNextPage() {
   SteadyTime now = context_.now();
   if (fetching_ || pages_asked_for_ >= kMostPages || now < next_page_) return;
-  if (!context_.follower.Fresh() || !context_.cloud.Take(now, 1)) return;
+  if (!context_.state_watcher.Fresh() || !context_.cloud.Take(now, 1)) return;
   ++pages_asked_for_;
   fetching_ = true;
   context_.out.CallCloud(
@@ -80,9 +80,10 @@
        alive = std::weak_ptr<int>(alive_)](const WorkerReply& reply) {
         if (alive.expired()) return;
         --inspecting_;
-        if (!reply.report || reply.report->fencing_token >= fencing_token_)
+        if (!reply.heartbeat ||
+            reply.heartbeat->fencing_token >= fencing_token_)
           return;
-        SendFencingToken(listed, reply.report->agent_epoch);
+        SendFencingToken(listed, reply.heartbeat->agent_epoch);
       });
 }
 
--- a/src/core/fleet.cc
+++ b/src/core/fleet.cc
@@ -62,7 +62,7 @@
         if (alive.expired()) return;
         handler(reply);
         // Known by reading, whatever the answer was.
-        context_.follower.AfterRead(
+        context_.state_watcher.AfterNextRead(
             [this, alive = std::weak_ptr<int>(alive_)](bool) {
               if (!alive.expired()) storing_ = false;
             });
@@ -71,14 +71,14 @@
 
 void Fleet::Step() {
   SteadyTime now = context_.now();
-  if (!context_.follower.Fresh()) return;
+  if (!context_.state_watcher.Fresh()) return;
   if (!fetching_types_ && now >= next_types_) FetchTypes();
   if (!listing_ && now >= next_list_ && context_.cloud.Take(now, 1)) {
     listing_ = true;
     FetchList("", std::make_shared<std::set<std::string>>(), now);
   }
   FollowRentals();
-  if (now >= next_resize_ && listed_once_ && context_.mirror.types()) {
+  if (now >= next_resize_ && listed_once_ && context_.state_cache.types()) {
     next_resize_ = now + kResizeGap;
     Resize();
   }
@@ -99,7 +99,7 @@
 }
 
 void Fleet::StoreTypes(TypesRecord types) {
-  const auto& stored = context_.mirror.types();
+  const auto& stored = context_.state_cache.types();
   if (stored && stored->value.types == types.types) return;
   if (storing_) {
     next_types_ = context_.now() + Millis(1000);
@@ -164,14 +164,14 @@
 }
 
 double Fleet::Price(const Offer& offer) const {
-  const MachineType* type = context_.mirror.FindType(offer.type);
+  const MachineType* type = context_.state_cache.FindType(offer.type);
   if (type == nullptr) return 1e9;
   return offer.spot ? type->spot_price : type->price;
 }
 
 std::vector<Fleet::Offer> Fleet::OffersByPrice() const {
   std::vector<Offer> offers;
-  for (const MachineType& type : context_.mirror.types()->value.types) {
+  for (const MachineType& type : context_.state_cache.types()->value.types) {
     for (const std::string& zone : type.zones) {
       offers.push_back({type.name, zone, true});
       offers.push_back({type.name, zone, false});
@@ -184,7 +184,7 @@
 }
 
 double Fleet::MachinesFor(const Resources& room) const {
-  const MachineType& type = context_.mirror.types()->value.types.front();
+  const MachineType& type = context_.state_cache.types()->value.types.front();
   auto machines = [](int64_t need, int64_t size) {
     return size <= 0 ? 0.0
                      : static_cast<double>(need) / static_cast<double>(size);
@@ -198,7 +198,7 @@
 // report is late counts with its last one; otherwise the sum would seem to
 // drop.
 void Fleet::FollowPeriod() {
-  const auto& stored = context_.mirror.sizing();
+  const auto& stored = context_.state_cache.sizing();
   if (history_.empty() && stored && last_period_ == 0) {
     history_ = stored->value.history;
     last_period_ = stored->value.period;
@@ -213,7 +213,7 @@
   uint32_t started = 0;
   for (uint32_t partition = 0; partition < context_.partition_count;
        ++partition) {
-    const auto* load = context_.mirror.FindLoad(partition);
+    const auto* load = context_.state_cache.FindLoad(partition);
     if (load == nullptr || load->value.period < period) complete = false;
     if (load == nullptr) continue;
     point.requested += load->value.requested;
@@ -258,7 +258,7 @@
     series.push_back(MachinesFor(point.requested));
     if (point.delay >= 0) points.push_back({point.utilisation, point.delay});
   }
-  const MachineType& type = context_.mirror.types()->value.types.front();
+  const MachineType& type = context_.state_cache.types()->value.types.front();
   *room = MachinesFor(demand.requested);
   sizing::TargetInputs in;
   in.waiting = demand.waiting;
@@ -286,8 +286,8 @@
     } else if (!known.idle_since) {
       known.idle_since = now;
     }
-    if (context_.mirror.Draining(name)) continue;
-    const MachineType* type = context_.mirror.FindType(known.offer.type);
+    if (context_.state_cache.Draining(name)) continue;
+    const MachineType* type = context_.state_cache.FindType(known.offer.type);
     Duration boot = type == nullptr ? Millis(60000) : type->boot;
     bool overdue = known.status == MachineStatus::kBooting && !known.worked &&
                    now - known.rented > 3 * boot + Millis(10000);
@@ -321,7 +321,7 @@
 
 int Fleet::Pending(bool ordinary_only) const {
   int pending = 0;
-  for (const auto& [name, rental] : context_.mirror.rentals()) {
+  for (const auto& [name, rental] : context_.state_cache.rentals()) {
     if (!rental.value.machines.empty()) continue;
     if (ordinary_only && rental.value.spot) continue;
     pending += static_cast<int>(rental.value.count);
@@ -333,7 +333,7 @@
   SteadyTime now = context_.now();
   FollowPeriod();
   Use use;
-  for (const auto& [id, job] : context_.mirror.open_jobs()) {
+  for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     for (const auto& [number, chunk] : job->chunks) {
       for (const Assignment& assignment : chunk.record.assigned) {
         MachineUse& machine = use[assignment.machine];
@@ -344,8 +344,8 @@
     }
   }
   Demand demand = MeasureDemand(
-      context_.mirror, context_.deployment,
-      FailingJobs(context_.mirror, context_.partition_count),
+      context_.state_cache, context_.deployment,
+      FailingJobs(context_.state_cache, context_.partition_count),
       context_.out.now().wall, context_.partition_count, std::nullopt);
   count_ = CountMachines(use);
   int count = count_ + Pending(false);
@@ -364,11 +364,11 @@
   int ordinary = Pending(true);
   std::set<Offer> kinds;  // of which there is at least one
   for (const auto& [name, known] : machines_) {
-    if (context_.mirror.Draining(name)) continue;
+    if (context_.state_cache.Draining(name)) continue;
     if (!known.offer.spot) ++ordinary;
     if (known.status != MachineStatus::kFailed) kinds.insert(known.offer);
   }
-  for (const auto& [name, rental] : context_.mirror.rentals()) {
+  for (const auto& [name, rental] : context_.state_cache.rentals()) {
     kinds.insert({rental.value.type, rental.value.zone, rental.value.spot});
   }
   double needed = MachinesFor(demand.ordinary_only);
@@ -400,7 +400,7 @@
 }
 
 bool Fleet::Serves(const JobSpec& spec, const Offer& offer) const {
-  const MachineType* type = context_.mirror.FindType(offer.type);
+  const MachineType* type = context_.state_cache.FindType(offer.type);
   return type != nullptr && spec.need.FitsIn(type->capacity) &&
          spec.AllowsType(offer.type) && (spec.spot || !offer.spot) &&
          (spec.zone.empty() || spec.zone == offer.zone);
@@ -415,7 +415,7 @@
     }
   }
   std::set<std::string> open;
-  for (const MachineType& type : context_.mirror.types()->value.types) {
+  for (const MachineType& type : context_.state_cache.types()->value.types) {
     for (const std::string& zone : type.zones) {
       bool full = spec.spread && here[zone] + 1 > (spec.tasks + 1) / 2;
       if (!full) open.insert(zone);
@@ -442,7 +442,7 @@
   auto serves = [&](const Offer& offer) {
     return zones.contains(offer.zone) && Serves(spec, offer);
   };
-  for (const auto& [name, rental] : context_.mirror.rentals()) {
+  for (const auto& [name, rental] : context_.state_cache.rentals()) {
     const RentalRecord& record = rental.value;
     bool coming = record.machines.empty();
     if (coming && serves({record.type, record.zone, record.spot})) return true;
@@ -450,10 +450,10 @@
   return std::ranges::any_of(machines_, [&](const auto& entry) {
     const auto& [name, known] = entry;
     if (known.status == MachineStatus::kFailed || !serves(known.offer) ||
-        context_.mirror.Draining(name)) {
+        context_.state_cache.Draining(name)) {
       return false;
     }
-    Resources room = context_.mirror.FindType(known.offer.type)->capacity;
+    Resources room = context_.state_cache.FindType(known.offer.type)->capacity;
     auto used = use.find(name);
     if (used == use.end()) return spec.need.FitsIn(room);
     // Less important tasks can be displaced.
@@ -478,7 +478,7 @@
 
 // As many rentals as it takes, stored together: one for each turn would let a
 // large fleet wait for its last machines for longer than they take to boot.
-void Fleet::Ask(Order order, std::string_view reason) {
+void Fleet::Ask(InstanceOrder order, std::string_view reason) {
   reason_ = reason;
   Transaction txn;
   size_t most = std::max<size_t>(1, context_.state_limits.Operations() / 2);
@@ -524,7 +524,7 @@
   for (const auto& [offer, machines] : CountByOffer()) {
     if (have.contains(offer)) have[offer] = machines;
   }
-  Order order;
+  InstanceOrder order;
   for (; count > 0; --count) {
     auto fewest = std::ranges::min_element(
         have, {}, [](const auto& entry) { return entry.second; });
@@ -537,9 +537,9 @@
 std::map<Fleet::Offer, int> Fleet::CountByOffer() const {
   std::map<Offer, int> counts;
   for (const auto& [name, known] : machines_) {
-    if (!context_.mirror.Draining(name)) ++counts[known.offer];
+    if (!context_.state_cache.Draining(name)) ++counts[known.offer];
   }
-  for (const auto& [name, rental] : context_.mirror.rentals()) {
+  for (const auto& [name, rental] : context_.state_cache.rentals()) {
     const RentalRecord& record = rental.value;
     if (!record.machines.empty()) continue;
     counts[{record.type, record.zone, record.spot}] +=
@@ -563,7 +563,7 @@
 uint32_t Fleet::DrainingReplicas(const Use& use) const {
   uint32_t replicas = 0;
   for (const auto& [name, machine] : use) {
-    if (context_.mirror.Draining(name)) replicas += machine.replicas;
+    if (context_.state_cache.Draining(name)) replicas += machine.replicas;
   }
   return replicas;
 }
@@ -576,7 +576,7 @@
   SteadyTime now = context_.now();
   std::vector<std::tuple<uint32_t, double, double, std::string>> choice;
   for (const auto& [name, known] : machines_) {
-    if (context_.mirror.Draining(name) ||
+    if (context_.state_cache.Draining(name) ||
         known.status != MachineStatus::kRunning)
       continue;
     auto used = use.find(name);
@@ -611,7 +611,7 @@
   context_.out.Log(LogLevel::kInfo,
                    "event=return machines={} target={} have={}", names.size(),
                    target_, count_);
-  if (const auto& drain = context_.mirror.drain()) {
+  if (const auto& drain = context_.state_cache.drain()) {
     names.insert(names.begin(), drain->value.machines.begin(),
                  drain->value.machines.end());
   }
@@ -620,7 +620,7 @@
 
 // A machine that is still emptying is there at once and costs no boot.
 int Fleet::KeepDraining(int count) {
-  const auto& stored = context_.mirror.drain();
+  const auto& stored = context_.state_cache.drain();
   if (!stored) return 0;
   std::vector<std::string> rest;
   int kept = 0;
@@ -641,7 +641,7 @@
 }
 
 void Fleet::StoreDrain(std::vector<std::string> machines) {
-  const auto& stored = context_.mirror.drain();
+  const auto& stored = context_.state_cache.drain();
   // Machines that are gone need no mention any more.
   std::erase_if(machines, [&](const std::string& name) {
     return !machines_.contains(name);
@@ -658,7 +658,7 @@
 // again under the same name, which rents nothing twice.
 void Fleet::FollowRentals() {
   SteadyTime now = context_.now();
-  for (const auto& [name, rental] : context_.mirror.rentals()) {
+  for (const auto& [name, rental] : context_.state_cache.rentals()) {
     if (rental.value.machines.empty()) {
       auto next = next_send_.find(name);
       if (sending_.contains(name)) continue;
@@ -706,8 +706,8 @@
         SteadyTime now = context_.now();
         sending_.erase(name);
         next_send_[name] = now + Millis(1500);
-        auto stored = context_.mirror.rentals().find(name);
-        if (stored == context_.mirror.rentals().end()) return;
+        auto stored = context_.state_cache.rentals().find(name);
+        if (stored == context_.state_cache.rentals().end()) return;
         Offer offer{record.type, record.zone, record.spot};
         bool over = reply.no_capacity || reply.status == 400 ||
                     (reply.status == 200 && reply.rented.empty());
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -76,8 +76,8 @@
   bool Refused(const Offer& offer) const;
   uint32_t MostPerRental() const;
   // How many machines to rent of each kind.
-  using Order = std::map<Offer, int>;
-  void Ask(Order order, std::string_view reason);
+  using InstanceOrder = std::map<Offer, int>;
+  void Ask(InstanceOrder order, std::string_view reason);
   // Machines and pending rentals of each kind.
   std::map<Offer, int> CountByOffer() const;
   bool Serves(const JobSpec& spec, const Offer& offer) const;
--- a/src/core/machines.h
+++ b/src/core/machine.h
@@ -21,14 +21,14 @@
 using TaskKey = std::pair<std::string, uint32_t>;  // job, task
 
 // A stored assignment to this machine.
-struct HeldTask {
+struct BoundAttempt {
   const Job* job = nullptr;
   uint32_t attempt = 0;
   // Bound by an earlier owner of the partition, who may have sent the start.
-  bool inherited = false;
+  bool bound_by_previous_owner = false;
   // Reported by the worker since this process owns the partition.
-  bool seen = false;
-  // Session and number of the report whose answer last carried the start.
+  bool reported = false;
+  // Session and number of the heartbeat whose answer last carried the start.
   std::optional<std::pair<uint64_t, uint64_t>> start_sent;
   // To be stopped: before its machine is taken, or to make room.
   bool leave = false;
@@ -53,12 +53,12 @@
   bool spot = false;
   Resources capacity;  // zero until the type is known
 
-  std::map<TaskKey, HeldTask> held;
+  std::map<TaskKey, BoundAttempt> bound;
   Resources used;       // by what is held
   Resources stray_use;  // by reported tasks that are not held
   Resources planned;    // by assignments of the transaction being built
 
-  std::optional<WorkerReport> report;  // the newest
+  std::optional<WorkerHeartbeat> heartbeat;  // the newest
   SteadyTime heard{};
   // Since when the worker is known to have seen my fencing token, and the last
   // answer it can have taken since. Without the former nothing follows from
@@ -66,8 +66,9 @@
   bool fencing_token_seen = false;
   SteadyTime last_answer{};
   RequestId waiting = 0;  // the request to answer
-  // Until its next report, as far as can be expected: starts travel in answers.
-  Duration until_report{0};
+  // Until its next heartbeat, as far as can be expected: starts travel in
+  // answers.
+  Duration until_heartbeat{0};
   SteadyTime waiting_since{};
 
   // Since when it has shown no sign of hearing answers, although it should
@@ -76,10 +77,10 @@
   std::optional<SteadyTime> doubtful_since;
   SteadyTime agent_epoch_since{};  // when its agent epoch was first heard of
   int answers = 0;                 // in this agent epoch
-  // A agent epoch has ended although its reports were answered.
+  // An agent epoch has ended although its heartbeats were answered.
   bool epoch_ended_while_answered = false;
-  // Heard for the first time or after a silence: that may be a copy of a report
-  // that was held back on the way. The next report tells.
+  // Heard for the first time or after a silence: that may be a copy of a
+  // heartbeat that was held back on the way. The next heartbeat tells.
   bool back = true;
 
   bool drain = false;     // chosen to go: gets no new tasks
@@ -90,63 +91,67 @@
   std::optional<SteadyTime> idle_since;
   SteadyTime paused_until{};  // refused a start a moment ago
   SteadyTime next_stop{};     // a direct command failed a moment ago
-  // Images that are surely there, and those of held tasks (how many) and of
+  // Images that are surely there, and those of bound tasks (how many) and of
   // tasks in the transaction being built, which will be.
   std::set<std::string> images;
-  std::map<std::string, int> held_images;
+  std::map<std::string, int> bound_images;
   std::set<std::string> planned_images;
   // Jobs whose replicas the transaction being built starts here.
   std::set<std::string> planned_services;
-  bool HoldsTaskOf(const std::string& job) const {
-    auto first = held.lower_bound({job, 0});
-    return (first != held.end() && first->first.first == job) ||
+  bool HasTaskOf(const std::string& job) const {
+    auto first = bound.lower_bound({job, 0});
+    return (first != bound.end() && first->first.first == job) ||
            planned_services.contains(job);
   }
   bool Coming(const std::string& image) const {
-    return held_images.contains(image) || planned_images.contains(image);
+    return bound_images.contains(image) || planned_images.contains(image);
   }
 
   Resources Free() const { return capacity - used - stray_use - planned; }
   bool TakesTasks(SteadyTime now) const {
-    return report && fencing_token_seen && !drain && !sick && !deleting &&
+    return heartbeat && fencing_token_seen && !drain && !sick && !deleting &&
            !gone && !taken_at && !doubtful_since && !back &&
            now >= paused_until;
   }
 };
 
-// What a newer report (or its silence) says of a held task.
-enum class Verdict : uint8_t {
-  kHeld,     // there, or on its way
+// What a newer heartbeat (or its silence) says of a bound task.
+enum class AttemptOutcome : uint8_t {
+  kBound,    // there, or on its way
   kDone,     // completed
   kFailed,   // ended with an error
   kRefused,  // the worker had no room, or another attempt of the task
   kGone,     // stopped, lost, or never started and not to be started
 };
 
-// Judges one held task by the machine's newest report. `wanted` is false if the
-// task should not be started any more.
+// Judges one bound task by the machine's newest heartbeat. `wanted` is false if
+// the task should not be started any more.
 //
-// A task that the report lacks is gone only if the worker had seen this owner's
-// fencing token when it sent the report (no answer of an earlier owner can
-// start it any more) and the report is newer than the one whose answer carried
-// the start.
-Verdict Judge(const Machine& machine, const TaskKey& key, const HeldTask& task,
-              uint64_t fencing_token, bool wanted);
-
-struct OrderPolicy {
+// A task that the heartbeat lacks is gone only if the worker had seen this
+// owner's fencing token when it sent the heartbeat (no answer of an earlier
+// owner can start it any more) and the heartbeat is newer than the one whose
+// answer carried the start.
+AttemptOutcome ClassifyAttempt(const Machine& machine, const TaskKey& key,
+                               const BoundAttempt& task, uint64_t fencing_token,
+                               bool wanted);
+
+struct CommandPolicy {
   uint64_t fencing_token = 0;
   bool may_start = false;
   SteadyTime now{};
-  // Whether a held task should be running.
-  std::function<bool(const HeldTask&)> wanted;
+  // Whether a bound task should be running.
+  std::function<bool(const BoundAttempt&)> wanted;
 };
 
-// The orders that answer the machine's newest report. Marks the starts as sent.
-std::vector<Order> MakeOrders(Machine& machine, const OrderPolicy& policy);
+// The commands that answer the machine's newest heartbeat. Marks the starts as
+// sent.
+std::vector<WorkerCommand> BuildCommands(Machine& machine,
+                                         const CommandPolicy& policy);
 
-// Stops that need not wait for the next report, to be sent directly. Only
+// Stops that need not wait for the next heartbeat, to be sent directly. Only
 // stops: a late copy of one does nothing, as attempts are never used again.
-std::vector<Order> MakeDirectStops(Machine& machine, const OrderPolicy& policy);
+std::vector<WorkerCommand> BuildDirectStops(Machine& machine,
+                                            const CommandPolicy& policy);
 
 }  // namespace pitchfall
 
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -41,7 +41,7 @@
   ExitCause cause = ExitCause::kNone;
 };
 
-struct WorkerReport {
+struct WorkerHeartbeat {
   std::string machine;
   std::string address;
   std::string type;
@@ -54,8 +54,8 @@
   std::vector<ReportedTask> tasks;
 };
 
-struct Order {
-  enum class Op : uint8_t { kStart, kStop, kForget };
+struct WorkerCommand {
+  enum class Op : uint8_t { kStart, kStop, kAcknowledge };
   Op op = Op::kStart;
   std::string job;
   uint32_t task = 0;
@@ -63,9 +63,9 @@
   Duration grace{0};
 };
 
-struct Orders {
+struct WorkerCommands {
   uint64_t fencing_token = 0;
-  std::vector<Order> orders;
+  std::vector<WorkerCommand> commands;
 };
 
 // ---- State service ----
@@ -167,19 +167,19 @@
 struct CommandWorker {
   uint64_t fencing_token = 0;
   uint64_t agent_epoch = 0;
-  std::vector<Order> orders;
+  std::vector<WorkerCommand> commands;
 };
 struct InspectWorker {};
 using WorkerRequest = std::variant<CommandWorker, InspectWorker>;
 struct WorkerReply {
   CallId call = 0;
   int status = 0;
-  std::optional<WorkerReport> report;
+  std::optional<WorkerHeartbeat> heartbeat;
 };
 
 // ---- Other controllers ----
 
-struct PeerHello {
+struct PeerHeartbeat {
   std::string label;
   std::string incarnation;
   WallTime sent;
@@ -194,15 +194,15 @@
   double writes = 0;
 
   // The rest bounds how long owners may answer without the state service (see
-  // core/vouchers.h).
-  Duration uptime{0};     // of this process
-  uint64_t revision = 0;  // up to which this controller knows everything
-  SteadyTime mark{};      // the sender's clock; nobody else reads it
+  // core/cancellation_watermark.h).
+  Duration uptime{0};        // of this process
+  uint64_t revision = 0;     // up to which this controller knows everything
+  SteadyTime sender_time{};  // the sender's clock; nobody else reads it
   // The newest mark heard from each controller for which `cancelled` is whole.
   struct Echo {
     std::string label;
     std::string incarnation;
-    SteadyTime mark{};
+    SteadyTime sender_time{};
   };
   std::vector<Echo> echoes;
   // Jobs known to be cancelled since the revisions of those echoed.
@@ -227,15 +227,15 @@
 struct HealthCheck {
   RequestId request = 0;
 };
-struct CheckIn {
+struct ReceiveWorkerHeartbeat {
   RequestId request = 0;
-  WorkerReport report;
+  WorkerHeartbeat heartbeat;
 };
 struct Tick {};
 
-using Command =
-    std::variant<SubmitJob, PollJob, CancelJob, HealthCheck, CheckIn,
-                 StateReply, CloudReply, WorkerReply, PeerHello, Tick>;
+using Command = std::variant<SubmitJob, PollJob, CancelJob, HealthCheck,
+                             ReceiveWorkerHeartbeat, StateReply, CloudReply,
+                             WorkerReply, PeerHeartbeat, Tick>;
 
 // ---- Effects ----
 
@@ -254,7 +254,7 @@
   std::string message;
 };
 using ReplyBody =
-    std::variant<std::monostate, JobAnswer, Orders, Redirect, Problem>;
+    std::variant<std::monostate, JobAnswer, WorkerCommands, Redirect, Problem>;
 
 struct Reply {
   RequestId request = 0;
@@ -281,8 +281,8 @@
   WorkerRequest request;
   Duration timeout{0};
 };
-struct SendHello {
-  PeerHello hello;
+struct SendPeerHeartbeat {
+  PeerHeartbeat heartbeat;
 };
 enum class LogLevel : uint8_t { kDebug, kInfo, kWarning, kError };
 struct LogLine {
@@ -290,8 +290,8 @@
   std::string text;
 };
 
-using Effect =
-    std::variant<Reply, StateCall, CloudCall, WorkerCall, SendHello, LogLine>;
+using Effect = std::variant<Reply, StateCall, CloudCall, WorkerCall,
+                            SendPeerHeartbeat, LogLine>;
 
 }  // namespace pitchfall
 
--- a/src/core/outbox.h
+++ b/src/core/outbox.h
@@ -50,8 +50,8 @@
     effects_.push_back(
         WorkerCall{call, std::move(address), std::move(request), timeout});
   }
-  void Send(PeerHello hello) {
-    effects_.push_back(SendHello{std::move(hello)});
+  void Send(PeerHeartbeat heartbeat) {
+    effects_.push_back(SendPeerHeartbeat{std::move(heartbeat)});
   }
 
   template <typename... Args>
--- a/src/core/ownership.cc
+++ b/src/core/ownership.cc
@@ -14,7 +14,7 @@
 
 void Ownership::Step() {
   KeepLease();
-  if (!context_.follower.Fresh()) return;
+  if (!context_.state_watcher.Fresh()) return;
   Register();
   TrackNodes();
   for (uint32_t partition = 0; partition < context_.partition_count;
@@ -51,7 +51,7 @@
 }
 
 void Ownership::Register() {
-  const auto& nodes = context_.mirror.nodes();
+  const auto& nodes = context_.state_cache.nodes();
   if (nodes.contains(context_.deployment.label + "." + context_.incarnation)) {
     if (!registered_at_) registered_at_ = context_.now();
     return;
@@ -73,13 +73,13 @@
                            registering_ = false;
                            next_register_ = context_.now() + Millis(200);
                            if (reply.no_lease) lease_ = 0;
-                           context_.follower.Want();
+                           context_.state_watcher.RequestRead();
                          });
 }
 
 void Ownership::TrackNodes() {
   std::map<std::string, SteadyTime> alive;
-  for (const auto& [key, node] : context_.mirror.nodes()) {
+  for (const auto& [key, node] : context_.state_cache.nodes()) {
     const std::string& label = node.value.label;
     auto known = alive_since_.find(label);
     alive[label] = known == alive_since_.end() ? context_.now() : known->second;
@@ -87,10 +87,10 @@
   alive_since_ = std::move(alive);
 }
 
-const Mirror::Versioned<NodeRecord>* Ownership::FindNode(
+const StateCache::Versioned<NodeRecord>* Ownership::FindNode(
     const std::string& label) const {
-  const Mirror::Versioned<NodeRecord>* newest = nullptr;
-  for (const auto& [key, node] : context_.mirror.nodes()) {
+  const StateCache::Versioned<NodeRecord>* newest = nullptr;
+  for (const auto& [key, node] : context_.state_cache.nodes()) {
     if (node.value.label != label) continue;
     if (newest == nullptr || node.mod_revision > newest->mod_revision)
       newest = &node;
@@ -120,7 +120,7 @@
 
 Duration Ownership::TakeOverDelay(
     uint32_t partition,
-    const Mirror::Versioned<PartitionRecord>* current) const {
+    const StateCache::Versioned<PartitionRecord>* current) const {
   const std::string& me = context_.deployment.label;
   // An earlier incarnation of this process is certainly dead: only one process
   // can hold this controller's addresses.
@@ -131,8 +131,8 @@
 }
 
 void Ownership::ReconcilePartition(uint32_t partition) {
-  const Mirror::Versioned<PartitionRecord>* current =
-      context_.mirror.FindPartition(partition);
+  const StateCache::Versioned<PartitionRecord>* current =
+      context_.state_cache.FindPartition(partition);
   const std::string& me = context_.deployment.label;
   Vacancy& vacancy = vacancies_[partition];
   SteadyTime now = context_.now();
@@ -157,7 +157,7 @@
   bool my_earlier_incarnation =
       current != nullptr && current->value.label == me;
   bool vacant = current == nullptr || my_earlier_incarnation ||
-                !context_.mirror.NodeAlive(current->value);
+                !context_.state_cache.NodeAlive(current->value);
   if (!vacant || !registered_at_) {
     vacancy.since.reset();
     return;
@@ -169,8 +169,8 @@
   TakeOver(partition, current);
 }
 
-void Ownership::TakeOver(uint32_t partition,
-                         const Mirror::Versioned<PartitionRecord>* current) {
+void Ownership::TakeOver(
+    uint32_t partition, const StateCache::Versioned<PartitionRecord>* current) {
   SteadyTime now = context_.now();
   context_.writes.Take(now, 1, -1e9);
   context_.requests.Take(now, 1, -1e9);
@@ -188,21 +188,21 @@
   context_.out.Log(LogLevel::kInfo, "event=takeover_asked partition={} from={}",
                    partition,
                    current == nullptr ? "nobody" : current->value.label);
-  context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
-                         [this, partition](const StateReply&) {
-                           // Whatever the answer, or without one: the next
-                           // reading shows who owns the partition now.
-                           context_.follower.AfterRead([this, partition](bool) {
-                             vacancies_[partition].asking = false;
-                           });
-                         });
+  context_.out.CallState(
+      std::move(txn), context_.tuning.state_timeout,
+      [this, partition](const StateReply&) {
+        // Whatever the answer, or without one: the next
+        // reading shows who owns the partition now.
+        context_.state_watcher.AfterNextRead(
+            [this, partition](bool) { vacancies_[partition].asking = false; });
+      });
 }
 
 void Ownership::HandOver(uint32_t partition, const std::string& label,
                          bool unreachable) {
-  const Mirror::Versioned<PartitionRecord>* current =
-      context_.mirror.FindPartition(partition);
-  const Mirror::Versioned<NodeRecord>* node = FindNode(label);
+  const StateCache::Versioned<PartitionRecord>* current =
+      context_.state_cache.FindPartition(partition);
+  const StateCache::Versioned<NodeRecord>* node = FindNode(label);
   Vacancy& vacancy = vacancies_[partition];
   if (current == nullptr || current->value.incarnation != context_.incarnation)
     return;
@@ -221,26 +221,26 @@
   context_.out.Log(LogLevel::kInfo,
                    "event=handover partition={} to={} reason={}", partition,
                    label, unreachable ? "unreachable" : "balance");
-  context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
-                         [this, partition](const StateReply&) {
-                           context_.follower.AfterRead([this, partition](bool) {
-                             vacancies_[partition].asking = false;
-                           });
-                         });
+  context_.out.CallState(
+      std::move(txn), context_.tuning.state_timeout,
+      [this, partition](const StateReply&) {
+        context_.state_watcher.AfterNextRead(
+            [this, partition](bool) { vacancies_[partition].asking = false; });
+      });
 }
 
 std::optional<uint64_t> Ownership::FencingTokenOf(uint32_t partition) const {
-  const Mirror::Versioned<PartitionRecord>* current =
-      context_.mirror.FindPartition(partition);
+  const StateCache::Versioned<PartitionRecord>* current =
+      context_.state_cache.FindPartition(partition);
   if (current == nullptr || current->value.incarnation != context_.incarnation)
     return {};
   return current->mod_revision;
 }
 
 std::string Ownership::OwnerOf(uint32_t partition) const {
-  const Mirror::Versioned<PartitionRecord>* current =
-      context_.mirror.FindPartition(partition);
-  if (current == nullptr || !context_.mirror.NodeAlive(current->value)) {
+  const StateCache::Versioned<PartitionRecord>* current =
+      context_.state_cache.FindPartition(partition);
+  if (current == nullptr || !context_.state_cache.NodeAlive(current->value)) {
     return "";
   }
   return current->value.label;
--- a/src/core/ownership.h
+++ b/src/core/ownership.h
@@ -2,9 +2,9 @@
 // taking over partitions whose owner has gone, handing partitions back to the
 // controller whose turn it is.
 //
-// Who owns a partition is read from the mirror alone. The modification revision
-// of a partition's key is its fencing token: it rises with every change of
-// owner, and every write of an owner depends on it.
+// Who owns a partition is read from the state cache alone. The modification
+// revision of a partition's key is its fencing token: it rises with every
+// change of owner, and every write of an owner depends on it.
 #ifndef PITCHFALL_CORE_OWNERSHIP_H_
 #define PITCHFALL_CORE_OWNERSHIP_H_
 
@@ -45,13 +45,14 @@
   void TrackNodes();
   void ReconcilePartition(uint32_t partition);
   void TakeOver(uint32_t partition,
-                const Mirror::Versioned<PartitionRecord>* current);
+                const StateCache::Versioned<PartitionRecord>* current);
   Duration TakeOverDelay(
       uint32_t partition,
-      const Mirror::Versioned<PartitionRecord>* current) const;
+      const StateCache::Versioned<PartitionRecord>* current) const;
   // The controller that should own the partition if all live ones are well.
   std::string IdealOwner(uint32_t partition) const;
-  const Mirror::Versioned<NodeRecord>* FindNode(const std::string& label) const;
+  const StateCache::Versioned<NodeRecord>* FindNode(
+      const std::string& label) const;
   std::string MyKey() const {
     return keys::Node(context_.deployment.label, context_.incarnation);
   }
--- a/src/core/partition.cc
+++ b/src/core/partition.cc
@@ -11,20 +11,20 @@
 namespace pitchfall {
 namespace {
 
-constexpr Duration kWalkGap = Millis(40);
-constexpr Duration kPlanGap = Millis(80);
-constexpr Duration kIdlePlanGap = Millis(250);
+constexpr Duration kReconcileInterval = Millis(40);
+constexpr Duration kScheduleInterval = Millis(80);
+constexpr Duration kIdleScheduleInterval = Millis(250);
 constexpr Duration kCommandTimeout = Millis(2000);
 constexpr Duration kStopAgain = Millis(1000);
 constexpr Duration kLeaseMargin = Millis(500);
 constexpr Duration kCancelMargin = Millis(2000);
-// A report waits so long for tokens before it is answered without what they
+// A heartbeat waits so long for tokens before it is answered without what they
 // would have stored.
 constexpr Duration kStoreWait = Millis(600);
 // A start does not count for users if the task is stopped sooner.
 constexpr Duration kLeastRun = Millis(32000);
 constexpr Duration kWorthMoving = Millis(10000);
-// A job's id in a report, with quotes and comma.
+// A job's id in a heartbeat, with quotes and comma.
 constexpr size_t kFailingJobBytes = 28;
 // Of one more task on a machine of its own, in a chunk's record.
 constexpr size_t kMostAssignmentBytes = 100;
@@ -59,21 +59,21 @@
             auto known = machines_.find(machine);
             return known != machines_.end() && known->second.fencing_token_seen;
           }) {
-  for (const auto& [id, job] : context_.mirror.open_jobs()) {
+  for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     for (const auto& [chunk, entry] : job->chunks) {
       OnChunk(*job, chunk, nullptr, &entry);
     }
   }
-  adopting_ = false;
-  context_.mirror.AddListener(this);
+  loading_chunks_ = false;
+  context_.state_cache.AddListener(this);
   context_.out.Log(LogLevel::kInfo,
                    "event=partition_acquired partition={} token={}", number_,
                    fencing_token_);
 }
 
 Partition::~Partition() {
-  context_.mirror.RemoveListener(this);
-  for (auto& [name, machine] : machines_) RefuseReport(machine);
+  context_.state_cache.RemoveListener(this);
+  for (auto& [name, machine] : machines_) RefuseHeartbeat(machine);
   context_.out.Log(LogLevel::kInfo,
                    "event=partition_released partition={} token={}", number_,
                    fencing_token_);
@@ -101,25 +101,25 @@
   for (const Assignment& assignment : mine(before)) {
     if (among(mine(after), assignment)) continue;
     Machine& machine = GetMachine(assignment.machine);
-    machine.held.erase({spec.id, assignment.task});
-    if (--machine.held_images[spec.image] <= 0) {
-      machine.held_images.erase(spec.image);
+    machine.bound.erase({spec.id, assignment.task});
+    if (--machine.bound_images[spec.image] <= 0) {
+      machine.bound_images.erase(spec.image);
     }
     machine.used -= spec.need;
-    quota_.AddHeld(spec.team, Resources{} - spec.need);
+    quota_.AddBound(spec.team, Resources{} - spec.need);
   }
   for (const Assignment& assignment : mine(after)) {
     if (among(mine(before), assignment)) continue;
     Machine& machine = GetMachine(assignment.machine);
-    HeldTask held;
-    held.job = &job;
-    held.attempt = assignment.attempt;
-    held.inherited = adopting_;
-    machine.held[{spec.id, assignment.task}] = held;
-    machine.held_images[spec.image] += 1;
+    BoundAttempt bound;
+    bound.job = &job;
+    bound.attempt = assignment.attempt;
+    bound.bound_by_previous_owner = loading_chunks_;
+    machine.bound[{spec.id, assignment.task}] = bound;
+    machine.bound_images[spec.image] += 1;
     machine.used += spec.need;
     machine.idle_since.reset();
-    quota_.AddHeld(spec.team, spec.need);
+    quota_.AddBound(spec.team, spec.need);
   }
 }
 
@@ -129,12 +129,13 @@
 bool Partition::MayAnswer() const {
   const Deployment& d = context_.deployment;
   Duration limit = d.cancel - WithDrift(d.worker_lease) - kCancelMargin;
-  SteadyTime known_until = context_.vouchers.KnownUntil(
-      context_.follower.known_at(), context_.now());
+  SteadyTime known_until =
+      context_.cancellation_watermark.CancellationsKnownUntil(
+          context_.state_watcher.current_as_of(), context_.now());
   return !deposed_ && context_.now() - known_until < limit;
 }
 
-void Partition::HearOwner(const std::string& label, uint64_t fencing_token) {
+void Partition::OnPeerClaim(const std::string& label, uint64_t fencing_token) {
   if (fencing_token <= fencing_token_) return;
   if (!deposed_) {
     context_.out.Log(LogLevel::kInfo,
@@ -143,21 +144,22 @@
   }
   deposed_ = true;
   successor_ = label;
-  context_.follower.Want();
+  context_.state_watcher.RequestRead();
 }
 
-void Partition::RefuseReport(Machine& machine) {
+void Partition::RefuseHeartbeat(Machine& machine) {
   if (machine.waiting == 0) return;
   context_.out.Answer(machine.waiting, 503, Problem{"not entitled to answer"});
   machine.waiting = 0;
 }
 
-void Partition::CheckIn(RequestId request, const WorkerReport& report) {
+void Partition::OnWorkerHeartbeat(RequestId request,
+                                  const WorkerHeartbeat& heartbeat) {
   SteadyTime now = context_.now();
-  if (report.fencing_token > fencing_token_) {
+  if (heartbeat.fencing_token > fencing_token_) {
     // Somebody else owns the partition: nothing of mine counts any more.
     deposed_ = true;
-    context_.follower.Want();
+    context_.state_watcher.RequestRead();
   }
   if (!successor_.empty()) {
     context_.out.Answer(request, 421, Redirect{successor_});
@@ -167,29 +169,31 @@
     context_.out.Answer(request, 503, Problem{"not entitled to answer"});
     return;
   }
-  if (Outdated(report)) {
+  if (IsStale(heartbeat)) {
     context_.out.Answer(request, 503, Problem{"late report"});
     return;
   }
-  Machine& machine = GetMachine(report.machine);
-  RefuseReport(machine);
-  if (!machine.report) {
+  Machine& machine = GetMachine(heartbeat.machine);
+  RefuseHeartbeat(machine);
+  if (!machine.heartbeat) {
     context_.out.Log(
         LogLevel::kInfo,
         "event=worker_joined partition={} machine={} spot={} zone={} "
         "session={}",
-        number_, report.machine, report.spot, report.zone, report.agent_epoch);
+        number_, heartbeat.machine, heartbeat.spot, heartbeat.zone,
+        heartbeat.agent_epoch);
   }
-  Duration silence = 3 * context_.deployment.report + Millis(1000);
-  machine.back = !machine.report || now - machine.heard > silence;
-  std::optional<WorkerReport> before = std::move(machine.report);
-  machine.report = report;
+  Duration silence = 3 * context_.deployment.heartbeat_interval + Millis(1000);
+  machine.back = !machine.heartbeat || now - machine.heard > silence;
+  std::optional<WorkerHeartbeat> before = std::move(machine.heartbeat);
+  machine.heartbeat = heartbeat;
   machine.heard = now;
   last_heard_ = now;
   machine.gone = false;
   machine.waiting = request;
   machine.waiting_since = now;
-  if (report.fencing_token == fencing_token_ && !machine.fencing_token_seen) {
+  if (heartbeat.fencing_token == fencing_token_ &&
+      !machine.fencing_token_seen) {
     machine.fencing_token_seen = true;
     machine.last_answer = now;
   }
@@ -198,17 +202,18 @@
   dirty_ = true;
 }
 
-// The network may hold a report back and deliver it, or a copy of it, minutes
-// later. It must not bring a machine back to life.
-bool Partition::Outdated(const WorkerReport& report) const {
-  if (deleted_.contains(report.machine)) return true;
-  auto found = machines_.find(report.machine);
-  if (found == machines_.end() || !found->second.report) return false;
+// The network may hold a heartbeat back and deliver it, or a copy of it,
+// minutes later. It must not bring a machine back to life.
+bool Partition::IsStale(const WorkerHeartbeat& heartbeat) const {
+  if (deleted_.contains(heartbeat.machine)) return true;
+  auto found = machines_.find(heartbeat.machine);
+  if (found == machines_.end() || !found->second.heartbeat) return false;
   const Machine& machine = found->second;
-  const WorkerReport& newest = *machine.report;
-  // Its lease has run out: the worker's next report is of a later agent epoch.
-  if (machine.gone && report.agent_epoch <= newest.agent_epoch) return true;
-  return std::pair(report.agent_epoch, report.seq) <=
+  const WorkerHeartbeat& newest = *machine.heartbeat;
+  // Its lease has run out: the worker's next heartbeat is of a later agent
+  // epoch.
+  if (machine.gone && heartbeat.agent_epoch <= newest.agent_epoch) return true;
+  return std::pair(heartbeat.agent_epoch, heartbeat.seq) <=
          std::pair(newest.agent_epoch, newest.seq);
 }
 
@@ -216,11 +221,11 @@
 // report, since answers get lost; but one that hears takes the fencing token,
 // carries starts out, and stays in its agent epoch as long as it is answered.
 void Partition::WeighHearing(Machine& machine,
-                             const std::optional<WorkerReport>& before) {
+                             const std::optional<WorkerHeartbeat>& before) {
   SteadyTime now = context_.now();
-  const WorkerReport& report = *machine.report;
+  const WorkerHeartbeat& heartbeat = *machine.heartbeat;
   Duration lease = WithDrift(context_.deployment.worker_lease);
-  if (!before || before->agent_epoch != report.agent_epoch) {
+  if (!before || before->agent_epoch != heartbeat.agent_epoch) {
     if (machine.answers >= 3 && now - machine.last_answer < lease) {
       machine.epoch_ended_while_answered = true;
       if (!machine.doubtful_since) machine.doubtful_since = now;
@@ -230,13 +235,13 @@
   }
   bool unheeded =
       !machine.fencing_token_seen && machine.last_answer != SteadyTime{};
-  for (const auto& [key, task] : machine.held) {
-    unheeded |= task.start_sent && !task.seen &&
-                task.start_sent->first == report.agent_epoch &&
-                task.start_sent->second < report.seq;
+  for (const auto& [key, task] : machine.bound) {
+    unheeded |= task.start_sent && !task.reported &&
+                task.start_sent->first == heartbeat.agent_epoch &&
+                task.start_sent->second < heartbeat.seq;
   }
-  bool stays =
-      now - machine.agent_epoch_since > lease + 2 * context_.deployment.report;
+  bool stays = now - machine.agent_epoch_since >
+               lease + 2 * context_.deployment.heartbeat_interval;
   if (unheeded) {
     if (!machine.doubtful_since) machine.doubtful_since = now;
   } else if (stays || !machine.epoch_ended_while_answered) {
@@ -249,45 +254,45 @@
   return machine.doubtful_since &&
          context_.now() - *machine.doubtful_since >
              WithDrift(context_.deployment.worker_lease) +
-                 4 * context_.deployment.report;
+                 4 * context_.deployment.heartbeat_interval;
 }
 
 void Partition::UpdateMachine(Machine& machine) {
-  const WorkerReport& report = *machine.report;
-  machine.address = report.address;
-  machine.type = report.type;
-  machine.zone = report.zone;
-  machine.spot = report.spot;
-  if (const MachineType* type = context_.mirror.FindType(report.type)) {
+  const WorkerHeartbeat& heartbeat = *machine.heartbeat;
+  machine.address = heartbeat.address;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
+  if (const MachineType* type = context_.state_cache.FindType(heartbeat.type)) {
     machine.capacity = type->capacity;
   }
-  if (report.notice && !machine.taken_at) {
-    machine.taken_at = machine.heard + *report.notice;
+  if (heartbeat.notice && !machine.taken_at) {
+    machine.taken_at = machine.heard + *heartbeat.notice;
     context_.out.Log(
         LogLevel::kInfo, "event=spot_notice machine={} seconds={:.1f} tasks={}",
-        machine.name, ToSeconds(*report.notice), machine.held.size());
+        machine.name, ToSeconds(*heartbeat.notice), machine.bound.size());
   }
   machine.stray_use = {};
-  for (const ReportedTask& task : report.tasks) {
+  for (const ReportedTask& task : heartbeat.tasks) {
     if (task.state == TaskState::kExited) continue;
-    auto held = machine.held.find({task.job, task.task});
-    if (held != machine.held.end() && held->second.attempt == task.attempt) {
-      held->second.seen = true;
-      held->second.state = task.state;
-      if (task.state == TaskState::kRunning && !held->second.running_since) {
-        held->second.running_since = machine.heard;
-        LogReplicaUp(machine, *held);
+    auto bound = machine.bound.find({task.job, task.task});
+    if (bound != machine.bound.end() && bound->second.attempt == task.attempt) {
+      bound->second.reported = true;
+      bound->second.state = task.state;
+      if (task.state == TaskState::kRunning && !bound->second.running_since) {
+        bound->second.running_since = machine.heard;
+        LogReplicaUp(machine, *bound);
       }
-      NoteProvenReplica(machine, held->second);
+      NoteProvenReplica(machine, bound->second);
       if (task.state != TaskState::kFetching) {
-        machine.images.insert(held->second.job->spec().image);
+        machine.images.insert(bound->second.job->spec().image);
       }
       continue;
     }
-    const Job* job = context_.mirror.FindJob(task.job);
+    const Job* job = context_.state_cache.FindJob(task.job);
     if (job != nullptr) machine.stray_use += job->spec().need;
   }
-  bool busy = !machine.held.empty() || !report.tasks.empty();
+  bool busy = !machine.bound.empty() || !heartbeat.tasks.empty();
   if (busy) {
     machine.idle_since.reset();
   } else if (!machine.idle_since) {
@@ -297,7 +302,7 @@
 
 // Replicas never complete. One that has run for a while stands for a task that
 // has, when faulty jobs are told from faulty machines.
-void Partition::NoteProvenReplica(const Machine& machine, HeldTask& task) {
+void Partition::NoteProvenReplica(const Machine& machine, BoundAttempt& task) {
   const JobSpec& spec = task.job->spec();
   if (spec.shape != Shape::kService || task.proven || !task.running_since ||
       machine.heard - *task.running_since < kProvenRun) {
@@ -313,9 +318,10 @@
 
 void Partition::LogReplicaUp(
     const Machine& machine,
-    const std::pair<const TaskKey, HeldTask>& entry) const {
+    const std::pair<const TaskKey, BoundAttempt>& entry) const {
   const JobSpec& spec = entry.second.job->spec();
-  if (spec.shape != Shape::kService || entry.second.inherited) return;
+  if (spec.shape != Shape::kService || entry.second.bound_by_previous_owner)
+    return;
   Duration age = context_.out.now().wall - entry.second.job->record.submitted;
   context_.out.Log(LogLevel::kInfo,
                    "event=replica_up job={} task={} machine={} cached={} "
@@ -324,18 +330,19 @@
                    machine.images.contains(spec.image), ToSeconds(age));
 }
 
-bool Partition::Wanted(const HeldTask& task) const {
+bool Partition::Wanted(const BoundAttempt& task) const {
   return !task.job->record.final() &&
-         !context_.told_cancelled.contains(task.job->spec().id);
+         !context_.cancelled_by_peers.contains(task.job->spec().id);
 }
 
-OrderPolicy Partition::Policy(const Machine& machine) const {
-  OrderPolicy policy;
+CommandPolicy Partition::Policy(const Machine& machine) const {
+  CommandPolicy policy;
   policy.fencing_token = fencing_token_;
   policy.now = context_.now();
-  policy.may_start = context_.follower.Fresh() && machine.fencing_token_seen &&
+  policy.may_start = context_.state_watcher.Fresh() &&
+                     machine.fencing_token_seen &&
                      machine.TakesTasks(context_.now());
-  policy.wanted = [this](const HeldTask& task) { return Wanted(task); };
+  policy.wanted = [this](const BoundAttempt& task) { return Wanted(task); };
   return policy;
 }
 
@@ -345,7 +352,8 @@
         machine.address.empty() || context_.now() < machine.next_stop) {
       continue;
     }
-    std::vector<Order> stops = MakeDirectStops(machine, Policy(machine));
+    std::vector<WorkerCommand> stops =
+        BuildDirectStops(machine, Policy(machine));
     if (stops.empty()) continue;
     auto handler = [this, name = name, stops,
                     alive =
@@ -354,59 +362,60 @@
     };
     context_.out.CallWorker(
         machine.address,
-        CommandWorker{fencing_token_, machine.report->agent_epoch,
+        CommandWorker{fencing_token_, machine.heartbeat->agent_epoch,
                       std::move(stops)},
         kCommandTimeout, std::move(handler));
   }
 }
 
-// The worker reports what has changed, and answers to reports repeat stops. But
-// one that reaches no controller reports nothing, and a stop that was lost on
-// it has to be sent again.
+// The worker reports what has changed, and answers to heartbeats repeat stops.
+// But one that reaches no controller reports nothing, and a stop that was lost
+// on it has to be sent again.
 void Partition::OnStopped(const std::string& name,
-                          const std::vector<Order>& stops,
+                          const std::vector<WorkerCommand>& stops,
                           const WorkerReply& reply) {
-  if (reply.report && reply.report->fencing_token > fencing_token_)
+  if (reply.heartbeat && reply.heartbeat->fencing_token > fencing_token_)
     deposed_ = true;
   if (reply.status == 200) return;
   auto machine = machines_.find(name);
   if (machine == machines_.end()) return;
   machine->second.next_stop = context_.now() + kStopAgain;
-  for (const Order& stop : stops) {
-    auto held = machine->second.held.find({stop.job, stop.task});
-    if (held == machine->second.held.end()) continue;
-    if (held->second.attempt == stop.attempt) held->second.stop_sent = false;
+  for (const WorkerCommand& stop : stops) {
+    auto bound = machine->second.bound.find({stop.job, stop.task});
+    if (bound == machine->second.bound.end()) continue;
+    if (bound->second.attempt == stop.attempt) bound->second.stop_sent = false;
   }
 }
 
-void Partition::AnswerReport(Machine& machine) {
+void Partition::AnswerHeartbeat(Machine& machine) {
   if (machine.waiting == 0) return;
   if (!MayAnswer()) {
-    RefuseReport(machine);
+    RefuseHeartbeat(machine);
     return;
   }
-  Orders orders{fencing_token_, MakeOrders(machine, Policy(machine))};
-  context_.out.Answer(machine.waiting, 200, std::move(orders));
+  WorkerCommands commands{fencing_token_,
+                          BuildCommands(machine, Policy(machine))};
+  context_.out.Answer(machine.waiting, 200, std::move(commands));
   machine.waiting = 0;
   machine.last_answer = context_.now();
   machine.answers += 1;
 }
 
-void Partition::AnswerReports(SteadyTime before) {
+void Partition::AnswerHeartbeats(SteadyTime before) {
   for (auto& [name, machine] : machines_) {
     if (machine.waiting != 0 && machine.waiting_since <= before) {
-      AnswerReport(machine);
+      AnswerHeartbeat(machine);
     }
   }
 }
 
-void Partition::WalkMachines() {
+void Partition::ReconcileMachines() {
   SteadyTime now = context_.now();
-  if (now < next_walk_) return;
-  next_walk_ = now + kWalkGap;
+  if (now < next_reconcile_) return;
+  next_reconcile_ = now + kReconcileInterval;
   // Without tokens nothing that would be stored is worth the full wait.
-  AnswerReports(now -
-                (short_of_tokens_ ? kStoreWait : context_.tuning.hold_report));
+  AnswerHeartbeats(
+      now - (short_of_tokens_ ? kStoreWait : context_.tuning.heartbeat_hold));
   CheckMachines();
   DeleteMachines();
   SendStops();
@@ -414,20 +423,20 @@
 
 void Partition::Step() {
   SteadyTime now = context_.now();
-  WalkMachines();
+  ReconcileMachines();
   announcer_.Step();
-  if (storing_ || now < next_plan_) return;
-  if (!dirty_ && now - next_plan_ < kIdlePlanGap) return;
-  if (!context_.follower.Fresh()) {
-    AnswerReports(now);
-    next_plan_ = now + kPlanGap;
+  if (storing_ || now < next_schedule_) return;
+  if (!dirty_ && now - next_schedule_ < kIdleScheduleInterval) return;
+  if (!context_.state_watcher.Fresh()) {
+    AnswerHeartbeats(now);
+    next_schedule_ = now + kScheduleInterval;
     return;
   }
   if (outcome_unknown_) {
     AdvanceWriteFence();
     return;
   }
-  Plan();
+  ScheduleTasks();
 }
 
 void Partition::CheckMachines() {
@@ -439,18 +448,18 @@
   bool former_over = now - owned_since_ > WithDrift(context_.deployment.cancel);
   for (auto it = machines_.begin(); it != machines_.end();) {
     Machine& machine = it->second;
-    bool chosen = context_.mirror.Draining(machine.name);
+    bool chosen = context_.state_cache.Draining(machine.name);
     if (chosen != machine.drain) {
       machine.drain = chosen;
       dirty_ = true;
       context_.out.Log(LogLevel::kInfo, "event={} machine={} tasks={}",
                        chosen ? "drain" : "keep", machine.name,
-                       machine.held.size());
+                       machine.bound.size());
     }
     bool answered = machine.last_answer != SteadyTime{};
     bool lease_over =
         answered && machine.waiting == 0 && now - machine.last_answer > lease;
-    bool unheard = !machine.report && !machine.held.empty();
+    bool unheard = !machine.heartbeat && !machine.bound.empty();
     bool lost = machine.fencing_token_seen
                     ? lease_over
                     : former_over && (unheard || lease_over);
@@ -460,7 +469,7 @@
       context_.out.Log(
           LogLevel::kWarning, "event=worker_lost machine={} proof={} tasks={}",
           machine.name, machine.fencing_token_seen ? "lease" : "former_owner",
-          machine.held.size());
+          machine.bound.size());
     }
     if (machine.drain || machine.sick || machine.taken_at) {
       MoveReplicas(machine);
@@ -469,15 +478,16 @@
     if (machine.taken_at) {
       // Save what can be saved before the machine is taken.
       Duration left = *machine.taken_at - now;
-      for (auto& [key, task] : machine.held) {
+      for (auto& [key, task] : machine.bound) {
         const JobSpec& spec = task.job->spec();
         if (!task.leave && spec.checkpoint.count() > 0 &&
-            left < spec.save + 2 * context_.deployment.report + Millis(2000)) {
+            left < spec.save + 2 * context_.deployment.heartbeat_interval +
+                       Millis(2000)) {
           task.leave = true;
         }
       }
     }
-    if (machine.gone && machine.deleting && machine.held.empty()) {
+    if (machine.gone && machine.deleting && machine.bound.empty()) {
       failures_.ForgetMachine(machine.name);
       it = machines_.erase(it);
     } else {
@@ -490,15 +500,16 @@
 // soon as another machine has room. A few at a time, so that each finds its
 // place free.
 void Partition::MoveReplicas(Machine& machine) {
-  auto moving = std::ranges::count_if(machine.held, [](const auto& entry) {
+  auto moving = std::ranges::count_if(machine.bound, [](const auto& entry) {
     return entry.second.job->spec().shape == Shape::kService &&
            entry.second.leave;
   });
   SteadyTime now = context_.now();
   bool soon_taken =
       machine.taken_at &&
-      *machine.taken_at - now < 2 * context_.deployment.report + Millis(2000);
-  for (auto& [key, task] : machine.held) {
+      *machine.taken_at - now <
+          2 * context_.deployment.heartbeat_interval + Millis(2000);
+  for (auto& [key, task] : machine.bound) {
     if (task.job->spec().shape != Shape::kService || task.leave) continue;
     bool place = moving < kReplicasMovedAtOnce &&
                  HasPlaceBeside(machine, task.job->spec());
@@ -530,7 +541,7 @@
 void Partition::MoveSavable(Machine& machine) {
   SteadyTime now = context_.now();
   bool worth = false;
-  for (const auto& [key, task] : machine.held) {
+  for (const auto& [key, task] : machine.bound) {
     const JobSpec& spec = task.job->spec();
     if (spec.checkpoint.count() == 0 || !task.running_since) return;
     Duration ran = now - *task.running_since;
@@ -538,7 +549,7 @@
     worth |= spec.estimate - ran > spec.save + kWorthMoving;
   }
   if (!worth) return;
-  for (auto& [key, task] : machine.held) {
+  for (auto& [key, task] : machine.bound) {
     if (task.leave) continue;
     task.leave = true;
     context_.out.Log(LogLevel::kInfo, "event=move job={} task={} machine={}",
@@ -550,7 +561,7 @@
   SteadyTime now = context_.now();
   if (deleting_ || now < next_delete_ || machines_.empty()) return;
   next_delete_ = now + Millis(500);
-  Duration report = context_.deployment.report;
+  Duration interval = context_.deployment.heartbeat_interval;
   Duration lease = context_.deployment.worker_lease;
   auto silence = [&](const Machine& machine) {
     return now - std::max(machine.heard, owned_since_);
@@ -559,7 +570,7 @@
   size_t silent = 0;
   size_t deaf = 0;
   for (const auto& [name, machine] : machines_) {
-    (silence(machine) < 2 * report ? heard : silent) += 1;
+    (silence(machine) < 2 * interval ? heard : silent) += 1;
     deaf += Deaf(machine);
   }
   // If most have fallen silent at once it is more likely the network; if many
@@ -569,14 +580,14 @@
   std::vector<std::string> names;
   for (auto& [name, machine] : machines_) {
     if (names.size() >= 100) break;
-    bool unheard = !machine.report;
+    bool unheard = !machine.heartbeat;
     bool lost =
         (believable &&
-         silence(machine) > (unheard ? lease : 3 * report + Millis(2000))) ||
+         silence(machine) > (unheard ? lease : 3 * interval + Millis(2000))) ||
         silence(machine) > 3 * lease;
-    bool empty = machine.report && (machine.drain || machine.sick) &&
-                 machine.held.empty() && machine.waiting == 0 &&
-                 machine.report->tasks.empty();
+    bool empty = machine.heartbeat && (machine.drain || machine.sick) &&
+                 machine.bound.empty() && machine.waiting == 0 &&
+                 machine.heartbeat->tasks.empty();
     bool unhearing = deaf_believable && Deaf(machine);
     if (!lost && !empty && !unhearing && !machine.deleting) continue;
     if (!machine.deleting) {
@@ -585,7 +596,7 @@
                        lost        ? "silent"
                        : unhearing ? "deaf"
                                    : "drained",
-                       machine.held.size());
+                       machine.bound.size());
     }
     machine.deleting = true;
     names.push_back(name);
@@ -606,7 +617,7 @@
           deleted_.insert(name);
           auto machine = machines_.find(name);
           if (machine == machines_.end()) continue;
-          RefuseReport(machine->second);
+          RefuseHeartbeat(machine->second);
           machine->second.gone = true;
         }
         dirty_ = true;
@@ -639,16 +650,18 @@
   SteadyTime now = context_.now();
   EndsByChunk ends;
   for (auto& [name, machine] : machines_) {
-    if (!machine.report && !machine.gone) continue;
+    if (!machine.heartbeat && !machine.gone) continue;
     bool open = machine.TakesTasks(now);
-    for (auto& [key, task] : machine.held) {
+    for (auto& [key, task] : machine.bound) {
       bool wanted = Wanted(task) && !task.stop() && open;
-      // Whatever was drafted before is not stored, or the mirror would show it.
+      // Whatever was drafted before is not stored, or the state cache would
+      // show it.
       task.ending = false;
-      Verdict verdict = Judge(machine, key, task, fencing_token_, wanted);
-      if (verdict == Verdict::kHeld) continue;
+      AttemptOutcome outcome =
+          ClassifyAttempt(machine, key, task, fencing_token_, wanted);
+      if (outcome == AttemptOutcome::kBound) continue;
       ChunkKey chunk{key.first, task.job->chunk_of(key.second)};
-      ends[chunk].push_back({&machine, &task, key.second, verdict});
+      ends[chunk].push_back({&machine, &task, key.second, outcome});
     }
   }
   return ends;
@@ -657,16 +670,16 @@
 // What the chunk's record says once these tasks have ended.
 ChunkRecord Partition::RecordAfter(const std::vector<TaskEnd>& ends,
                                    uint32_t chunk) const {
-  const Job& job = *ends.front().held->job;
+  const Job& job = *ends.front().bound->job;
   ChunkRecord record = job.FindChunk(chunk)->record;
   record.epoch = job.owner_of(chunk, context_.partition_count).epoch;
   for (const TaskEnd& end : ends) {
     std::erase_if(record.assigned, [&end](const Assignment& a) {
-      return a.task == end.task && a.attempt == end.held->attempt &&
+      return a.task == end.task && a.attempt == end.bound->attempt &&
              a.machine == end.machine->name;
     });
     bool replica = job.spec().shape == Shape::kService;
-    if (end.verdict == Verdict::kDone && !replica) {
+    if (end.outcome == AttemptOutcome::kDone && !replica) {
       AddTask(record.done, end.task);
     }
   }
@@ -675,7 +688,7 @@
 
 void Partition::DraftEnds(Draft& draft) {
   for (const auto& [key, ends] : FindEnds()) {
-    const Job& job = *ends.front().held->job;
+    const Job& job = *ends.front().bound->job;
     if (!MayTouch(draft, job, key.second)) continue;
     ChunkRecord record = RecordAfter(ends, key.second);
     // Stored by an earlier version when values could be larger: it waits until
@@ -683,7 +696,7 @@
     if (!FitsSegment(key.first, key.second, record)) continue;
     draft.chunks[key] = {&job, std::move(record)};
     for (const TaskEnd& end : ends) {
-      end.held->ending = true;
+      end.bound->ending = true;
       NoteEnd(draft, job, end);
     }
   }
@@ -692,12 +705,12 @@
 // What to remember of the end once it is stored, and what it frees.
 void Partition::NoteEnd(Draft& draft, const Job& job, const TaskEnd& end) {
   const std::string& id = job.spec().id;
-  bool completed = end.verdict == Verdict::kDone;
+  bool completed = end.outcome == AttemptOutcome::kDone;
   bool replica = job.spec().shape == Shape::kService;
-  bool failed = end.verdict == Verdict::kFailed;
+  bool failed = end.outcome == AttemptOutcome::kFailed;
   // A replica that ends by itself has failed, whatever it says, unless it has
   // shown before that both the job and the machine are good.
-  if (replica && (completed || failed) && end.held->proven) {
+  if (replica && (completed || failed) && end.bound->proven) {
     draft.ended_replicas.push_back({end.machine->name, id});
     context_.out.Log(LogLevel::kInfo, "event=replica_ended job={} machine={}",
                      id, end.machine->name);
@@ -705,7 +718,7 @@
     draft.failures.push_back({end.machine->name, id});
   } else if (completed) {
     draft.successes.push_back({end.machine->name, id});
-  } else if (end.verdict == Verdict::kRefused) {
+  } else if (end.outcome == AttemptOutcome::kRefused) {
     draft.refusals.push_back({end.machine->name, id});
   }
   end.machine->planned -= job.spec().need;
@@ -733,7 +746,7 @@
   for (const Job* job : touched) consider(*job);
   // Two partitions may have finished their last chunks at the same moment,
   // neither seeing the other's: then the job's first partition says so.
-  for (const auto& [id, job] : context_.mirror.open_jobs()) {
+  for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     if (job->done >= job->spec().tasks && Owns(*job, 0)) consider(*job);
   }
 }
@@ -759,12 +772,14 @@
   }
   const std::set<std::string> avoid =
       failures_.MachinesToAvoid(spec.id, context_.now());
-  bool hurried = spec.shape == Shape::kService ||
-                 context_.deployment.StartsWithin(
-                     spec.job_class, 2 * context_.deployment.report);
-  size_t most_in_chunk = context_.mirror.AllNodesSupport(kStandingJobsVersion)
-                             ? kMostInChunk
-                             : kMostInChunkVersion1;
+  bool hurried =
+      spec.shape == Shape::kService ||
+      context_.deployment.StartsWithin(
+          spec.job_class, 2 * context_.deployment.heartbeat_interval);
+  size_t most_in_chunk =
+      context_.state_cache.AllNodesSupport(kStandingJobsVersion)
+          ? kMostInChunk
+          : kMostInChunkVersion1;
   for (uint32_t task = job.chunk_begin(chunk); task < job.chunk_end(chunk);
        ++task) {
     if (HasTask(taken, task)) continue;
@@ -914,10 +929,10 @@
 }
 
 void Partition::Preempt(const std::vector<const Job*>& jobs) {
-  auto victims = ChooseVictims(context_.mirror, context_.deployment, jobs,
+  auto victims = ChooseVictims(context_.state_cache, context_.deployment, jobs,
                                context_.out.now().wall);
   for (auto& [name, machine] : machines_) {
-    for (auto& [key, task] : machine.held) {
+    for (auto& [key, task] : machine.bound) {
       auto victim = victims.find({key.first, key.second, task.attempt});
       bool chosen = victim != victims.end();
       task.at_once = chosen && victim->second == StopKind::kAtOnce;
@@ -937,11 +952,12 @@
   for (auto& [name, machine] : machines_) {
     if (!machine.TakesTasks(now)) continue;
     open.push_back(&machine);
-    machine.until_report =
+    machine.until_heartbeat =
         machine.waiting != 0
             ? Duration(0)
-            : std::max(Duration(0),
-                       machine.last_answer + context_.deployment.report - now);
+            : std::max(Duration(0), machine.last_answer +
+                                        context_.deployment.heartbeat_interval -
+                                        now);
   }
   displacer_.BeginPlan(now);
   widest_ = 0;
@@ -963,7 +979,7 @@
     auto since = waiting_since_.find(spec.id);
     waiting[spec.id] = since == waiting_since_.end() ? now : since->second;
     waiting_since_.emplace(spec.id, now);
-    if (context_.told_cancelled.contains(spec.id)) continue;
+    if (context_.cancelled_by_peers.contains(spec.id)) continue;
     if (!failures_.MayRetry(spec.id, now)) continue;
     ZoneUse use;
     if (job->constrained()) {
@@ -1039,7 +1055,7 @@
   load.failing = failures_.FailingJobs(
       (most_bytes - std::min(most_bytes, kRecordBytes)) / kFailingJobBytes);
   Demand demand =
-      MeasureDemand(context_.mirror, context_.deployment,
+      MeasureDemand(context_.state_cache, context_.deployment,
                     {load.failing.begin(), load.failing.end()},
                     context_.out.now().wall, context_.partition_count, number_);
   load.requested = demand.requested;
@@ -1061,7 +1077,7 @@
   for (const auto& [name, machine] : machines_) {
     total += machine.capacity.cpus;
     if (!machine.TakesTasks(context_.now())) draining += machine.Free().cpus;
-    for (const auto& [key, task] : machine.held) {
+    for (const auto& [key, task] : machine.bound) {
       int64_t cpus = task.job->spec().need.cpus;
       (!task.state                           ? starting
        : *task.state == TaskState::kFetching ? fetching
@@ -1080,8 +1096,8 @@
       "started={} segment_bytes={} slots={}",
       number_, machines_.size(), amount(total), amount(starting),
       amount(fetching), amount(running), amount(leaving), amount(draining),
-      load.waiting, load.started, context_.mirror.LiveBytes(number_),
-      context_.mirror.SlotCount(number_));
+      load.waiting, load.started, context_.state_cache.LiveBytes(number_),
+      context_.state_cache.SlotCount(number_));
 }
 
 std::optional<Transaction> Partition::MakeTransaction(
@@ -1102,7 +1118,7 @@
   for (const Job* job : draft.starting)
     jobs[job->spec().id] = job->mod_revision;
   for (const std::string& id : draft.done_jobs) {
-    const Job* job = context_.mirror.FindJob(id);
+    const Job* job = context_.state_cache.FindJob(id);
     jobs[id] = job->mod_revision;
     JobRecord record = FinalRecord(job->record, JobState::kDone,
                                    context_.state_limits.ValueBytes());
@@ -1110,7 +1126,7 @@
     put(keys::Job(id), std::move(record), size);
   }
   for (const auto& [id, owners] : draft.moves) {
-    const Job* job = context_.mirror.FindJob(id);
+    const Job* job = context_.state_cache.FindJob(id);
     jobs[id] = job->mod_revision;
     JobRecord record = job->record;
     record.owners = owners;
@@ -1130,9 +1146,9 @@
     put(keys::Load(number_), *draft.load, kRecordBytes + failing);
   }
   for (const auto& [name, record] : draft.teams) {
-    auto stored = context_.mirror.teams().find(name);
+    auto stored = context_.state_cache.teams().find(name);
     txn.conditions.push_back(
-        {keys::Team(name), stored == context_.mirror.teams().end()
+        {keys::Team(name), stored == context_.state_cache.teams().end()
                                ? 0
                                : stored->second.mod_revision});
     put(keys::Team(name), record,
@@ -1150,7 +1166,7 @@
   bytes += kOperationBytes *
            (txn.conditions.size() + txn.writes.size() + 2 * limits.writes);
   limits.total_bytes = kTransactionBytes - std::min(kTransactionBytes, bytes);
-  auto segments = PlanSegments(context_.mirror, number_, changed, limits);
+  auto segments = PlanSegments(context_.state_cache, number_, changed, limits);
   if (!segments) return std::nullopt;
   for (SegmentWrite& segment : *segments) {
     std::string key = keys::Segment(number_, segment.slot);
@@ -1181,7 +1197,7 @@
   return draft;
 }
 
-void Partition::Plan() {
+void Partition::ScheduleTasks() {
   SteadyTime now = context_.now();
   // One token is for the segment. What goes beyond the tokens at hand
   // is borrowed, so that a finished job need not wait until nothing else
@@ -1193,15 +1209,15 @@
     dirty_ = true;
     return;
   }
-  next_plan_ = now + kPlanGap;
+  next_schedule_ = now + kScheduleInterval;
   dirty_ = false;
   ForgetPlanned();
   size_t ops = context_.state_limits.Operations();
   draft_limit_ = std::min<size_t>(static_cast<size_t>(tokens) + 1, ops / 2);
   most_starting_ = 3 * ops - std::min<size_t>(3 * ops, 2);
   if (refused_) draft_limit_ = most_starting_ = 1;
-  std::vector<const Job*> jobs =
-      OrderJobs(context_.mirror, context_.out.now().wall, context_.deployment);
+  std::vector<const Job*> jobs = OrderJobs(
+      context_.state_cache, context_.out.now().wall, context_.deployment);
   quota_.CountEverywhere();
   Preempt(jobs);
   Draft draft = MakeDraft(jobs);
@@ -1214,15 +1230,15 @@
     txn = MakeTransaction(draft);
   }
   if (draft.empty()) {
-    AnswerReports(now);
+    AnswerHeartbeats(now);
     return;
   }
   if (!txn) {
     dirty_ = true;
     context_.out.Log(LogLevel::kError,
                      "event=segments_full partition={} bytes={}", number_,
-                     context_.mirror.LiveBytes(number_));
-    AnswerReports(now);
+                     context_.state_cache.LiveBytes(number_));
+    AnswerHeartbeats(now);
     return;
   }
   Store(std::move(draft), std::move(*txn));
@@ -1270,25 +1286,25 @@
                        txn.conditions.size(),
                        context_.state_limits.ValueBytes());
     }
-    next_plan_ = now + Millis(150);
+    next_schedule_ = now + Millis(150);
     return;
   }
   if (reply.status == 200) {
     for (const Write& write : txn.writes) {
-      context_.mirror.Apply({write.key, write.value, reply.revision});
+      context_.state_cache.Apply({write.key, write.value, reply.revision});
     }
     Remember(draft);
     context_.state_limits.OnAccepted();
     // As many as fit again, by and by.
     most_chunks_ =
         draft.chunks.size() < most_chunks_ ? kAnyNumber : 2 * most_chunks_;
-    AnswerReports(started);
+    AnswerHeartbeats(started);
     return;
   }
   if (reply.status == 429 || reply.status == 503) {
     // Not carried out.
     if (reply.status == 429) context_.writes.Drain(now);
-    next_plan_ = now + Millis(150);
+    next_schedule_ = now + Millis(150);
     return;
   }
   if (reply.status != 409) {
@@ -1304,9 +1320,10 @@
   }
   // Find out what holds now before going on.
   storing_ = true;
-  context_.follower.AfterRead([this, alive = std::weak_ptr<int>(alive_)](bool) {
-    if (!alive.expired()) storing_ = false;
-  });
+  context_.state_watcher.AfterNextRead(
+      [this, alive = std::weak_ptr<int>(alive_)](bool) {
+        if (!alive.expired()) storing_ = false;
+      });
 }
 
 // A write got no answer. Reading shows whether it has been carried out, but not
@@ -1328,14 +1345,14 @@
       std::move(txn), context_.tuning.state_timeout,
       [this, alive = std::weak_ptr<int>(alive_)](const StateReply& reply) {
         if (alive.expired()) return;
-        next_plan_ = context_.now() + Millis(reply.status == 200 ? 0 : 150);
+        next_schedule_ = context_.now() + Millis(reply.status == 200 ? 0 : 150);
         if (reply.status == 200) {
           write_fence_ = reply.revision;
           outcome_unknown_ = false;
         }
         // What the lost write did, if it was carried out before the write
         // fence.
-        context_.follower.AfterRead(
+        context_.state_watcher.AfterNextRead(
             [this, alive = std::weak_ptr<int>(alive_)](bool ok) {
               if (alive.expired()) return;
               storing_ = false;
@@ -1376,7 +1393,7 @@
 
 void Partition::RememberFailure(const std::string& machine,
                                 const std::string& job) {
-  const Job* known = context_.mirror.FindJob(job);
+  const Job* known = context_.state_cache.FindJob(job);
   bool job_succeeds =
       known != nullptr && (known->done > 0 || proven_services_.contains(job));
   FailureTracker::Failure failure =
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -7,7 +7,7 @@
 // the modification revisions of the segments that it overwrites and on those of
 // the jobs whose tasks start. Nobody else writes what the partition owns, so
 // nothing else can have changed. Reports are answered after it, so that starts
-// and forgets follow what is stored.
+// and acknowledgements follow what is stored.
 #ifndef PITCHFALL_CORE_PARTITION_H_
 #define PITCHFALL_CORE_PARTITION_H_
 
@@ -24,7 +24,7 @@
 #include "core/displacement.h"
 #include "core/failure_tracker.h"
 #include "core/fencing_token_announcer.h"
-#include "core/machines.h"
+#include "core/machine.h"
 #include "core/placement.h"
 #include "core/team_quota.h"
 
@@ -37,11 +37,11 @@
   Partition(const Partition&) = delete;
   Partition& operator=(const Partition&) = delete;
 
-  void CheckIn(RequestId request, const WorkerReport& report);
+  void OnWorkerHeartbeat(RequestId request, const WorkerHeartbeat& heartbeat);
   void Step();
   // Another controller says that it owns the partition, and by which fencing
   // token.
-  void HearOwner(const std::string& label, uint64_t fencing_token);
+  void OnPeerClaim(const std::string& label, uint64_t fencing_token);
 
   void OnChunk(const Job& job, uint32_t chunk, const Job::Chunk* before,
                const Job::Chunk* after) override;
@@ -57,7 +57,7 @@
   SteadyTime last_write() const { return last_write_; }
 
  private:
-  using ChunkKey = Mirror::ChunkKey;
+  using ChunkKey = StateCache::ChunkKey;
   static constexpr size_t kAnyNumber = SIZE_MAX;
 
   // Changes to be stored together.
@@ -102,26 +102,28 @@
   bool refused_ = false;  // the last one was too large
 
   Machine& GetMachine(const std::string& name);
-  // Whether the report is an old copy that says nothing about the machine now.
-  bool Outdated(const WorkerReport& report) const;
+  // Whether the heartbeat is an old copy that says nothing about the machine
+  // now.
+  bool IsStale(const WorkerHeartbeat& heartbeat) const;
   void UpdateMachine(Machine& machine);
-  // What a newer report says about whether the machine hears answers.
+  // What a newer heartbeat says about whether the machine hears answers.
   void WeighHearing(Machine& machine,
-                    const std::optional<WorkerReport>& before);
+                    const std::optional<WorkerHeartbeat>& before);
   bool Deaf(const Machine& machine) const;
-  bool Wanted(const HeldTask& task) const;
+  bool Wanted(const BoundAttempt& task) const;
   void LogReplicaUp(const Machine& machine,
-                    const std::pair<const TaskKey, HeldTask>& entry) const;
-  void NoteProvenReplica(const Machine& machine, HeldTask& task);
+                    const std::pair<const TaskKey, BoundAttempt>& entry) const;
+  void NoteProvenReplica(const Machine& machine, BoundAttempt& task);
   bool MayAnswer() const;
-  void AnswerReport(Machine& machine);
-  void AnswerReports(SteadyTime before);
-  void RefuseReport(Machine& machine);
+  void AnswerHeartbeat(Machine& machine);
+  void AnswerHeartbeats(SteadyTime before);
+  void RefuseHeartbeat(Machine& machine);
 
-  OrderPolicy Policy(const Machine& machine) const;
+  CommandPolicy Policy(const Machine& machine) const;
   // Stops go to the workers at once.
   void SendStops();
-  void OnStopped(const std::string& name, const std::vector<Order>& stops,
+  void OnStopped(const std::string& name,
+                 const std::vector<WorkerCommand>& stops,
                  const WorkerReply& reply);
   void CheckMachines();
   void MoveSavable(Machine& machine);
@@ -129,8 +131,8 @@
   bool HasPlaceBeside(const Machine& machine, const JobSpec& spec) const;
   void DeleteMachines();
 
-  void WalkMachines();
-  void Plan();
+  void ReconcileMachines();
+  void ScheduleTasks();
   // What should be stored next.
   Draft MakeDraft(const std::vector<const Job*>& jobs);
   void ForgetPlanned();
@@ -141,9 +143,9 @@
   // A task whose end is seen and not stored yet.
   struct TaskEnd {
     Machine* machine = nullptr;
-    HeldTask* held = nullptr;
+    BoundAttempt* bound = nullptr;
     uint32_t task = 0;
-    Verdict verdict = Verdict::kGone;
+    AttemptOutcome outcome = AttemptOutcome::kGone;
   };
   using EndsByChunk = std::map<ChunkKey, std::vector<TaskEnd>>;
   EndsByChunk FindEnds();
@@ -192,7 +194,8 @@
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   const uint32_t number_;
   const uint64_t fencing_token_;
-  bool adopting_ = true;  // while the chunks of earlier owners are read in
+  bool loading_chunks_ =
+      true;  // while the chunks of earlier owners are read in
   // A later owner is known of, though the state does not show it here yet.
   bool deposed_ = false;
   std::string successor_;  // if it has told so itself
@@ -220,8 +223,8 @@
   bool storing_ = false;
   bool short_of_tokens_ = false;  // for the transaction to be planned next
   bool dirty_ = true;
-  SteadyTime next_plan_{};
-  SteadyTime next_walk_{};
+  SteadyTime next_schedule_{};
+  SteadyTime next_reconcile_{};
   bool deleting_ = false;
   SteadyTime next_delete_{};
   FencingTokenAnnouncer announcer_;
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -98,29 +98,29 @@
 }
 
 // Processors that standing jobs keep, so that they work off nothing.
-double HeldByServices(const std::vector<Planned>& jobs) {
-  double held = 0;
+double BoundByServices(const std::vector<Planned>& jobs) {
+  double bound = 0;
   for (const Planned& planned : jobs) {
     const JobSpec& spec = planned.job->spec();
     if (spec.shape != Shape::kService) continue;
-    held += static_cast<double>(spec.need.cpus) * planned.job->assigned /
-            Resources::kUnit;
+    bound += static_cast<double>(spec.need.cpus) * planned.job->assigned /
+             Resources::kUnit;
   }
-  return held;
+  return bound;
 }
 
 // How many processors work for an unlimited team, about: those that are
 // rented, or will be by the leader's last decision.
-double ClusterSpeed(const Mirror& mirror) {
+double ClusterSpeed(const StateCache& state_cache) {
   double speed = 1;
-  for (const auto& [id, job] : mirror.open_jobs()) {
+  for (const auto& [id, job] : state_cache.open_jobs()) {
     speed += static_cast<double>(job->spec().need.cpus) * job->assigned /
              Resources::kUnit;
   }
-  if (mirror.sizing() && mirror.types() &&
-      !mirror.types()->value.types.empty()) {
-    const MachineType& type = mirror.types()->value.types.front();
-    speed = std::max(speed, mirror.sizing()->value.target *
+  if (state_cache.sizing() && state_cache.types() &&
+      !state_cache.types()->value.types.empty()) {
+    const MachineType& type = state_cache.types()->value.types.front();
+    speed = std::max(speed, state_cache.sizing()->value.target *
                                 static_cast<double>(type.capacity.cpus) /
                                 Resources::kUnit);
   }
@@ -142,14 +142,14 @@
                     most);
 }
 
-std::vector<const Job*> OrderJobs(const Mirror& mirror, WallTime now,
+std::vector<const Job*> OrderJobs(const StateCache& state_cache, WallTime now,
                                   const Deployment& deployment) {
   std::map<std::string, std::vector<Planned>> teams;
-  for (const auto& [id, job] : mirror.open_jobs()) {
+  for (const auto& [id, job] : state_cache.open_jobs()) {
     if (job->record.final()) continue;
     teams[job->spec().team].push_back(PlanJob(*job, now, deployment));
   }
-  double cluster = ClusterSpeed(mirror);
+  double cluster = ClusterSpeed(state_cache);
   std::vector<std::pair<JobRank, const Job*>> ranked;
   auto by_rank = [](const auto& a, const auto& b) {
     if (a.first != b.first) return a.first < b.first;
@@ -165,7 +165,7 @@
         team == deployment.teams.end() ? 0 : team->second.cpus_guaranteed;
     double speed =
         limit > 0 ? static_cast<double>(limit) / Resources::kUnit : cluster;
-    PlanTeam(jobs, std::max(1.0, speed - HeldByServices(jobs)));
+    PlanTeam(jobs, std::max(1.0, speed - BoundByServices(jobs)));
     size_t first = ranked.size();
     for (const Planned& planned : jobs) {
       const Job& job = *planned.job;
@@ -226,14 +226,14 @@
     if (!Allowed(spec, *machine, use)) continue;
     // Replicas of one service start on different machines at the same time:
     // an image that is only planned for is no nearer than none.
-    bool coming = service ? machine->held_images.contains(spec.image)
+    bool coming = service ? machine->bound_images.contains(spec.image)
                           : machine->Coming(spec.image);
     int image = machine->images.contains(spec.image) ? 0 : coming ? 1 : 2;
-    bool together = service && machine->HoldsTaskOf(spec.id);
+    bool together = service && machine->HasTaskOf(spec.id);
     int64_t tasks = image < 2 ? 0 : spec.need.CountIn(free, waiting);
     // Seconds until its start, about, if that is what counts.
     int64_t delay =
-        hurried ? (machine->until_report + image * kHalfFetch) / Millis(1000)
+        hurried ? (machine->until_heartbeat + image * kHalfFetch) / Millis(1000)
                 : 0;
     // Whether a slot for a larger task that waits is lost by it.
     bool breaks = widest > spec.need.cpus &&
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "core/jobs.h"
-#include "core/machines.h"
-#include "core/mirror.h"
+#include "core/machine.h"
 #include "core/settings.h"
+#include "core/state_cache.h"
 #include "core/time.h"
 
 namespace pitchfall {
@@ -38,7 +38,7 @@
 // to be on time (Moore's algorithm: by due time, and whenever one would be
 // late, the one with the most work so far steps back to its next due time);
 // those that can meet none come last.
-std::vector<const Job*> OrderJobs(const Mirror& mirror, WallTime now,
+std::vector<const Job*> OrderJobs(const StateCache& state_cache, WallTime now,
                                   const Deployment& deployment);
 
 // Where the tasks of one job are at this moment, for jobs that must stay in one
--- a/src/core/preemption.cc
+++ b/src/core/preemption.cc
@@ -88,10 +88,10 @@
 }  // namespace
 
 std::map<Victim, StopKind> ChooseVictims(
-    const Mirror& mirror, const Deployment& deployment,
+    const StateCache& state_cache, const Deployment& deployment,
     const std::vector<const Job*>& jobs_in_order, WallTime now) {
   std::map<std::string, Resources> used;
-  for (const auto& [id, job] : mirror.open_jobs()) {
+  for (const auto& [id, job] : state_cache.open_jobs()) {
     used[job->spec().team] +=
         job->spec().need * static_cast<int64_t>(job->assigned);
   }
--- a/src/core/preemption.h
+++ b/src/core/preemption.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "core/jobs.h"
-#include "core/mirror.h"
 #include "core/settings.h"
+#include "core/state_cache.h"
 
 namespace pitchfall {
 
@@ -29,13 +29,13 @@
 
 // Where a team's limit keeps its more important jobs waiting, tasks of its less
 // important ones that can save their progress, as many as are needed. The
-// choice follows from the mirror alone: owners of different partitions, who
-// each stop their own, arrive at the same one.
+// choice follows from the state cache alone: owners of different partitions,
+// who each stop their own, arrive at the same one.
 //
 // Tasks that cannot save are left to finish: stopping them would throw away
 // more than the wait costs.
 std::map<Victim, StopKind> ChooseVictims(
-    const Mirror& mirror, const Deployment& deployment,
+    const StateCache& state_cache, const Deployment& deployment,
     const std::vector<const Job*>& jobs_in_order, WallTime now);
 
 }  // namespace pitchfall
--- a/src/core/room.h
+++ b/src/core/room.h
@@ -48,7 +48,7 @@
  public:
   explicit RoomBook(uint32_t partition_count) : partitions_(partition_count) {}
 
-  void Hear(uint32_t partition, const FreeRoom& free, SteadyTime now) {
+  void Update(uint32_t partition, const FreeRoom& free, SteadyTime now) {
     if (partition < partitions_.size()) partitions_[partition] = {free, now};
   }
   // How many of the job's tasks fit; none if the owner has not been heard for a
--- a/src/core/segments.cc
+++ b/src/core/segments.cc
@@ -25,9 +25,10 @@
 constexpr size_t kMachineIndex = 6;
 
 // Whether this is the chunk's newest version and still says something.
-const Job* LiveIn(const Mirror& mirror, const Mirror::ChunkKey& key,
-                  uint32_t partition, uint32_t slot) {
-  const Job* job = mirror.FindJob(key.first);
+const Job* LiveIn(const StateCache& state_cache,
+                  const StateCache::ChunkKey& key, uint32_t partition,
+                  uint32_t slot) {
+  const Job* job = state_cache.FindJob(key.first);
   if (job == nullptr) return nullptr;
   const Job::Chunk* chunk = job->FindChunk(key.second);
   if (chunk == nullptr || chunk->partition != partition ||
@@ -40,13 +41,13 @@
 
 // Adds to `changed` what the slot holds that is still needed and not in
 // `included` yet.
-void AddLiveEntries(const Mirror& mirror, uint32_t partition, uint32_t slot,
-                    std::set<Mirror::ChunkKey>& included,
+void AddLiveEntries(const StateCache& state_cache, uint32_t partition,
+                    uint32_t slot, std::set<StateCache::ChunkKey>& included,
                     std::vector<SegmentRecord::Entry>& changed) {
-  const Mirror::Segment* segment = mirror.FindSegment(partition, slot);
+  const StateCache::Segment* segment = state_cache.FindSegment(partition, slot);
   if (segment == nullptr) return;
-  for (const Mirror::ChunkKey& key : segment->chunks) {
-    const Job* job = LiveIn(mirror, key, partition, slot);
+  for (const StateCache::ChunkKey& key : segment->chunks) {
+    const Job* job = LiveIn(state_cache, key, partition, slot);
     if (job == nullptr || !included.insert(key).second) continue;
     changed.push_back(
         {key.first, key.second, job->FindChunk(key.second)->record});
@@ -62,22 +63,23 @@
 
 // How many slots the partition's ring has or should get. It never shrinks:
 // slots that were written are read again after a takeover.
-uint32_t RingSlots(const Mirror& mirror, uint32_t partition,
+uint32_t RingSlots(const StateCache& state_cache, uint32_t partition,
                    size_t value_bytes) {
-  size_t wanted = kSpareRing * mirror.LiveBytes(partition) / value_bytes;
+  size_t wanted = kSpareRing * state_cache.LiveBytes(partition) / value_bytes;
   wanted = std::clamp<size_t>(wanted, kLeastSlots, kMostSlots);
-  return std::max(static_cast<uint32_t>(wanted), mirror.SlotCount(partition));
+  return std::max(static_cast<uint32_t>(wanted),
+                  state_cache.SlotCount(partition));
 }
 
 // Oldest first: the order in which the ring is overwritten. Slots that were
 // never written come before all others.
-std::vector<std::pair<uint64_t, uint32_t>> SlotsByAge(const Mirror& mirror,
-                                                      uint32_t partition,
-                                                      uint32_t count) {
+std::vector<std::pair<uint64_t, uint32_t>> SlotsByAge(
+    const StateCache& state_cache, uint32_t partition, uint32_t count) {
   std::vector<std::pair<uint64_t, uint32_t>> slots;
   slots.reserve(count);
   for (uint32_t slot = 0; slot < count; ++slot) {
-    const Mirror::Segment* segment = mirror.FindSegment(partition, slot);
+    const StateCache::Segment* segment =
+        state_cache.FindSegment(partition, slot);
     slots.push_back({segment == nullptr ? 0 : segment->mod_revision, slot});
   }
   std::sort(slots.begin(), slots.end());
@@ -117,16 +119,17 @@
 // Overwrites the oldest slots, as many as it takes, with the changes and what
 // these slots hold.
 std::optional<std::vector<SegmentWrite>> OverwriteOldest(
-    const Mirror& mirror, uint32_t partition,
+    const StateCache& state_cache, uint32_t partition,
     std::vector<SegmentRecord::Entry> changed, const SegmentLimits& limits) {
-  std::set<Mirror::ChunkKey> included;
+  std::set<StateCache::ChunkKey> included;
   for (const auto& entry : changed) included.insert({entry.job, entry.chunk});
-  auto slots = SlotsByAge(mirror, partition,
-                          RingSlots(mirror, partition, limits.value_bytes));
+  auto slots =
+      SlotsByAge(state_cache, partition,
+                 RingSlots(state_cache, partition, limits.value_bytes));
   std::vector<SegmentWrite> writes;
   while (writes.size() < std::min(limits.writes, slots.size())) {
     const auto& [mod_revision, slot] = slots[writes.size()];
-    AddLiveEntries(mirror, partition, slot, included, changed);
+    AddLiveEntries(state_cache, partition, slot, included, changed);
     writes.push_back({slot, mod_revision, {}});
     SegmentLimits slots_so_far = limits;
     slots_so_far.writes = writes.size();
@@ -143,17 +146,18 @@
 // Adds slots to the ring for the changes and as much as fits of what the oldest
 // slots hold.
 std::optional<std::vector<SegmentWrite>> ExtendRing(
-    const Mirror& mirror, uint32_t partition,
+    const StateCache& state_cache, uint32_t partition,
     const std::vector<SegmentRecord::Entry>& changed,
     const SegmentLimits& limits) {
   auto fillers = Fill(changed, limits);
-  uint32_t end = mirror.SlotCount(partition);
+  uint32_t end = state_cache.SlotCount(partition);
   if (!fillers || end + limits.writes > kMostSlots) return std::nullopt;
-  std::set<Mirror::ChunkKey> included;
+  std::set<StateCache::ChunkKey> included;
   for (const auto& entry : changed) included.insert({entry.job, entry.chunk});
   std::vector<SegmentRecord::Entry> older;
-  for (const auto& [mod_revision, slot] : SlotsByAge(mirror, partition, end)) {
-    AddLiveEntries(mirror, partition, slot, included, older);
+  for (const auto& [mod_revision, slot] :
+       SlotsByAge(state_cache, partition, end)) {
+    AddLiveEntries(state_cache, partition, slot, included, older);
     if (older.size() > kMostMovedEntries) break;
   }
   for (const SegmentRecord::Entry& entry : older) {
@@ -215,12 +219,12 @@
 }
 
 std::optional<std::vector<SegmentWrite>> PlanSegments(
-    const Mirror& mirror, uint32_t partition,
+    const StateCache& state_cache, uint32_t partition,
     const std::vector<SegmentRecord::Entry>& changed,
     const SegmentLimits& limits) {
-  auto writes = OverwriteOldest(mirror, partition, changed, limits);
+  auto writes = OverwriteOldest(state_cache, partition, changed, limits);
   if (writes) return writes;
-  return ExtendRing(mirror, partition, changed, limits);
+  return ExtendRing(state_cache, partition, changed, limits);
 }
 
 }  // namespace pitchfall
--- a/src/core/segments.h
+++ b/src/core/segments.h
@@ -28,8 +28,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/mirror.h"
 #include "core/records.h"
+#include "core/state_cache.h"
 
 namespace pitchfall {
 
@@ -80,7 +80,7 @@
   SegmentRecord segment;
 };
 std::optional<std::vector<SegmentWrite>> PlanSegments(
-    const Mirror& mirror, uint32_t partition,
+    const StateCache& state_cache, uint32_t partition,
     const std::vector<SegmentRecord::Entry>& changed,
     const SegmentLimits& limits);
 
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -47,7 +47,7 @@
   Duration time_bound{0};
   std::map<std::string, Team> teams;
   std::vector<Objective> objectives;
-  Duration report{Millis(2000)};
+  Duration heartbeat_interval{Millis(2000)};
   Duration worker_lease{Millis(10000)};
   Duration cancel{Millis(30000)};
   // Limits of the state service, and those announced for some later moment.
@@ -86,7 +86,7 @@
   Duration node_lease{Millis(4000)};
   Duration state_timeout{Millis(1500)};
   Duration cloud_timeout{Millis(5000)};
-  Duration hold_report{Millis(1000)};
+  Duration heartbeat_hold{Millis(1000)};
   Duration idle_before_return{Millis(5000)};
   uint32_t max_machines = 10000;
   uint32_t partition_count = 0;  // 0: as many as controllers
--- a/src/core/mirror.cc
+++ b/src/core/state_cache.cc
@@ -1,4 +1,4 @@
-#include "core/mirror.h"
+#include "core/state_cache.h"
 
 #include <algorithm>
 #include <charconv>
@@ -19,8 +19,8 @@
 }  // namespace
 
 template <typename T>
-void Mirror::ApplyTo(Table<T>& table, const std::string& name,
-                     const Change& change) {
+void StateCache::ApplyTo(Table<T>& table, const std::string& name,
+                         const Change& change) {
   auto it = table.find(name);
   if (it != table.end() && it->second.mod_revision >= change.mod_revision)
     return;
@@ -33,14 +33,15 @@
 }
 
 template <typename T>
-void Mirror::ApplyTo(std::optional<Versioned<T>>& slot, const Change& change) {
+void StateCache::ApplyTo(std::optional<Versioned<T>>& slot,
+                         const Change& change) {
   if (slot && slot->mod_revision >= change.mod_revision) return;
   const T* value = change.value ? std::get_if<T>(&*change.value) : nullptr;
   slot.reset();
   if (value != nullptr) slot = Versioned<T>{*value, change.mod_revision};
 }
 
-void Mirror::Apply(const Change& change) {
+void StateCache::Apply(const Change& change) {
   // What a reading up to `revision_` has shown cannot be news, and could bring
   // back a key that has been deleted since.
   if (change.mod_revision <= revision_ || change.unreadable) return;
@@ -77,7 +78,7 @@
   }
 }
 
-void Mirror::AdvanceTo(uint64_t revision) {
+void StateCache::AdvanceTo(uint64_t revision) {
   if (revision <= revision_) return;
   revision_ = revision;
   std::erase_if(tombstones_,
@@ -85,7 +86,7 @@
   Settle();
 }
 
-void Mirror::ApplyJob(const std::string& id, const Change& change) {
+void StateCache::ApplyJob(const std::string& id, const Change& change) {
   const JobRecord* record =
       change.value ? std::get_if<JobRecord>(&*change.value) : nullptr;
   if (record == nullptr) return;  // job records are never deleted
@@ -104,7 +105,7 @@
   Refresh(*slot);
 }
 
-std::optional<std::vector<std::string>> Mirror::CancelledSince(
+std::optional<std::vector<std::string>> StateCache::CancelledSince(
     uint64_t revision, size_t most) const {
   if (revision < cancellations_from_) return std::nullopt;
   std::vector<std::string> cancelled;
@@ -116,8 +117,8 @@
   return cancelled;
 }
 
-void Mirror::ApplySegment(std::string_view partition_and_slot,
-                          const Change& change) {
+void StateCache::ApplySegment(std::string_view partition_and_slot,
+                              const Change& change) {
   size_t slash = partition_and_slot.find('/');
   if (slash == std::string_view::npos) return;
   auto number = [](std::string_view text, uint32_t& out) {
@@ -148,7 +149,7 @@
 
 // A chunk that has been given away is newer in the new owner's segments,
 // whenever the old owner copies its last version forward.
-void Mirror::SetChunk(Job& job, uint32_t chunk, Job::Chunk version) {
+void StateCache::SetChunk(Job& job, uint32_t chunk, Job::Chunk version) {
   auto order = [](const Job::Chunk& c) {
     return std::pair(c.record.epoch, c.mod_revision);
   };
@@ -176,14 +177,14 @@
   Refresh(job);
 }
 
-void Mirror::CountLive(const Job::Chunk& chunk, int sign) {
+void StateCache::CountLive(const Job::Chunk& chunk, int sign) {
   constexpr int64_t kChunk = 40;
   constexpr int64_t kAssignment = 20;
   auto assigned = static_cast<int64_t>(chunk.record.assigned.size());
   live_bytes_[chunk.partition] += sign * (kChunk + kAssignment * assigned);
 }
 
-void Mirror::Refresh(Job& job) {
+void StateCache::Refresh(Job& job) {
   if (job.open()) {
     open_jobs_[job.spec().id] = &job;
     closing_.erase(&job);
@@ -197,7 +198,7 @@
 // once everything up to the newest change has been read: an older segment that
 // is read later would otherwise bind its tasks again, and what they need would
 // be unknown.
-void Mirror::Settle() {
+void StateCache::Settle() {
   std::erase_if(closing_, [this](Job* job) {
     for (const auto& [number, chunk] : job->chunks) {
       if (chunk.mod_revision > revision_) return false;
@@ -213,7 +214,7 @@
   });
 }
 
-void Mirror::Replace(Mirror fresh) {
+void StateCache::Replace(StateCache fresh) {
   std::vector<ChunkListener*> listeners = std::move(listeners_);
   for (const auto& [id, job] : open_jobs_) {
     for (const auto& [number, chunk] : job->chunks) {
@@ -233,24 +234,24 @@
   }
 }
 
-const Job* Mirror::FindJob(const std::string& id) const {
+const Job* StateCache::FindJob(const std::string& id) const {
   auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-const Mirror::Versioned<PartitionRecord>* Mirror::FindPartition(
+const StateCache::Versioned<PartitionRecord>* StateCache::FindPartition(
     uint32_t partition) const {
   auto it = partitions_.find(std::to_string(partition));
   return it == partitions_.end() ? nullptr : &it->second;
 }
 
-const Mirror::Versioned<LoadRecord>* Mirror::FindLoad(
+const StateCache::Versioned<LoadRecord>* StateCache::FindLoad(
     uint32_t partition) const {
   auto it = loads_.find(std::to_string(partition));
   return it == loads_.end() ? nullptr : &it->second;
 }
 
-uint32_t Mirror::PartitionCount() const {
+uint32_t StateCache::PartitionCount() const {
   uint32_t count = 0;
   for (const auto& [name, partition] : partitions_) {
     uint32_t number = 0;
@@ -260,25 +261,25 @@
   return count;
 }
 
-const Mirror::Segment* Mirror::FindSegment(uint32_t partition,
-                                           uint32_t slot) const {
+const StateCache::Segment* StateCache::FindSegment(uint32_t partition,
+                                                   uint32_t slot) const {
   auto it = segments_.find({partition, slot});
   return it == segments_.end() ? nullptr : &it->second;
 }
 
-uint32_t Mirror::SlotCount(uint32_t partition) const {
+uint32_t StateCache::SlotCount(uint32_t partition) const {
   auto next = segments_.lower_bound({partition + 1, 0});
   if (next == segments_.begin()) return 0;
   const auto& [key, segment] = *std::prev(next);
   return key.first == partition ? key.second + 1 : 0;
 }
 
-size_t Mirror::LiveBytes(uint32_t partition) const {
+size_t StateCache::LiveBytes(uint32_t partition) const {
   auto live = live_bytes_.find(partition);
   return live == live_bytes_.end() ? 0 : static_cast<size_t>(live->second);
 }
 
-const MachineType* Mirror::FindType(const std::string& name) const {
+const MachineType* StateCache::FindType(const std::string& name) const {
   if (!types_) return nullptr;
   for (const MachineType& type : types_->value.types) {
     if (type.name == name) return &type;
@@ -286,11 +287,11 @@
   return nullptr;
 }
 
-bool Mirror::NodeAlive(const PartitionRecord& owner) const {
+bool StateCache::NodeAlive(const PartitionRecord& owner) const {
   return nodes_.contains(owner.label + "." + owner.incarnation);
 }
 
-bool Mirror::AllNodesSupport(uint32_t version) const {
+bool StateCache::AllNodesSupport(uint32_t version) const {
   return std::ranges::all_of(nodes_, [version](const auto& node) {
     return node.second.value.version >= version;
   });
--- a/src/core/mirror.h
+++ b/src/core/state_cache.h
@@ -1,6 +1,6 @@
 // This process's copy of what the state service holds, kept by watch reads.
-#ifndef PITCHFALL_CORE_MIRROR_H_
-#define PITCHFALL_CORE_MIRROR_H_
+#ifndef PITCHFALL_CORE_STATE_CACHE_H_
+#define PITCHFALL_CORE_STATE_CACHE_H_
 
 #include <cstdint>
 #include <map>
@@ -28,7 +28,7 @@
                        const Job::Chunk* after) = 0;
 };
 
-class Mirror {
+class StateCache {
  public:
   template <typename T>
   struct Versioned {
@@ -50,7 +50,7 @@
   void AdvanceTo(uint64_t revision);
   // Takes over what a fresh reading found; listeners see the differences as a
   // removal of all chunks and an arrival of the new ones.
-  void Replace(Mirror fresh);
+  void Replace(StateCache fresh);
 
   uint64_t revision() const { return revision_; }
 
--- a/src/core/follower.cc
+++ b/src/core/state_watcher.cc
@@ -1,18 +1,18 @@
-#include "core/follower.h"
+#include "core/state_watcher.h"
 
 #include <utility>
 
 namespace pitchfall {
 
-void Follower::Step() {
+void StateWatcher::Step() {
   if (reading_) return;
   SteadyTime now = out_.now().steady;
   if (now < next_) return;
-  bool wanted = wanted_ || !waiting_.empty() || !loaded_;
+  bool wanted = read_requested_ || !waiting_.empty() || !loaded_;
   if (!wanted && now - started_ < kIdleGap) return;
   if (!requests_.Take(now, 1)) return;
   reading_ = true;
-  wanted_ = false;
+  read_requested_ = false;
   started_ = now;
   served_ = std::exchange(waiting_, {});
   if (loaded_) {
@@ -22,8 +22,8 @@
   }
 }
 
-void Follower::StartWatch() {
-  out_.CallState(WatchRead{mirror_.revision()}, tuning_.state_timeout,
+void StateWatcher::StartWatch() {
+  out_.CallState(WatchRead{state_cache_.revision()}, tuning_.state_timeout,
                  [this](const StateReply& reply) {
                    if (reply.status == 410) {
                      // Too far behind: read everything again.
@@ -35,17 +35,17 @@
                    }
                    if (reply.status == 200) {
                      for (const Change& change : reply.changes) {
-                       mirror_.Apply(change);
+                       state_cache_.Apply(change);
                      }
-                     mirror_.AdvanceTo(reply.revision);
+                     state_cache_.AdvanceTo(reply.revision);
                    }
                    Finish(reply.status == 200);
                  });
 }
 
-void Follower::StartList() {
+void StateWatcher::StartList() {
   SteadyTime now = out_.now().steady;
-  if (listing_ && now - listing_->begun > kOldestListing) listing_.reset();
+  if (listing_ && now - listing_->begun > kMaxListingAge) listing_.reset();
   if (!listing_) {
     listing_ = Listing{};
     listing_->begun = now;
@@ -54,7 +54,7 @@
                  [this](const StateReply& reply) { OnPage(reply); });
 }
 
-void Follower::OnPage(const StateReply& reply) {
+void StateWatcher::OnPage(const StateReply& reply) {
   if (reply.status != 200) {
     Finish(false);
     return;
@@ -70,25 +70,25 @@
     return;
   }
   listing_->fresh.AdvanceTo(listing_->revision);
-  mirror_.Replace(std::move(listing_->fresh));
+  state_cache_.Replace(std::move(listing_->fresh));
   listing_.reset();
   loaded_ = true;
   // The pages are of different moments: a segment may name jobs that the page
   // before did not have yet. Nothing is known for sure before what changed
   // since has been read.
-  wanted_ = true;
+  read_requested_ = true;
   out_.Log(LogLevel::kInfo, "event=state_loaded revision={} open_jobs={}",
-           mirror_.revision(), mirror_.open_jobs().size());
+           state_cache_.revision(), state_cache_.open_jobs().size());
   Finish(false);
   next_ = out_.now().steady;
 }
 
-void Follower::Finish(bool ok) {
+void StateWatcher::Finish(bool ok) {
   SteadyTime now = out_.now().steady;
   reading_ = false;
-  if (ok) known_at_ = started_;
+  if (ok) current_as_of_ = started_;
   next_ = now + (ok ? kBusyGap : kFailureGap);
-  for (Waiter& waiter : std::exchange(served_, {})) waiter(ok);
+  for (ReadCallback& waiter : std::exchange(served_, {})) waiter(ok);
 }
 
 }  // namespace pitchfall
--- a/src/core/follower.h
+++ b/src/core/state_watcher.h
@@ -1,39 +1,44 @@
-// Keeps the mirror up to date by reading the state service's change log.
-#ifndef PITCHFALL_CORE_FOLLOWER_H_
-#define PITCHFALL_CORE_FOLLOWER_H_
+// Keeps the state cache up to date by reading the state service's change log.
+#ifndef PITCHFALL_CORE_STATE_WATCHER_H_
+#define PITCHFALL_CORE_STATE_WATCHER_H_
 
 #include <functional>
 #include <optional>
 #include <vector>
 
 #include "core/budget.h"
-#include "core/mirror.h"
 #include "core/outbox.h"
 #include "core/settings.h"
+#include "core/state_cache.h"
 
 namespace pitchfall {
 
-class Follower {
+class StateWatcher {
  public:
   // Called with whether the read succeeded.
-  using Waiter = std::function<void(bool)>;
+  using ReadCallback = std::function<void(bool)>;
 
-  Follower(const Tuning& tuning, Outbox& out, Mirror& mirror,
-           TokenBucket& requests)
-      : tuning_(tuning), out_(out), mirror_(mirror), requests_(requests) {}
+  StateWatcher(const Tuning& tuning, Outbox& out, StateCache& state_cache,
+               TokenBucket& requests)
+      : tuning_(tuning),
+        out_(out),
+        state_cache_(state_cache),
+        requests_(requests) {}
 
   // Starts a read if one is due and none is under way.
   void Step();
 
   // Calls back after a read that starts later than this call. Any number of
   // waiters share one read.
-  void AfterRead(Waiter waiter) { waiting_.push_back(std::move(waiter)); }
-  void Want() { wanted_ = true; }
+  void AfterNextRead(ReadCallback waiter) {
+    waiting_.push_back(std::move(waiter));
+  }
+  void RequestRead() { read_requested_ = true; }
 
   // Everything is known that had been written before this time.
-  SteadyTime known_at() const { return known_at_; }
+  SteadyTime current_as_of() const { return current_as_of_; }
   bool loaded() const { return loaded_; }
-  Duration Age() const { return out_.now().steady - known_at_; }
+  Duration Age() const { return out_.now().steady - current_as_of_; }
   bool Fresh() const { return loaded_ && Age() < kFresh; }
 
  private:
@@ -42,7 +47,7 @@
   static constexpr Duration kBusyGap = Millis(20);
   static constexpr Duration kFailureGap = Millis(300);
   // The change log must still hold what came after the first page.
-  static constexpr Duration kOldestListing = Millis(30000);
+  static constexpr Duration kMaxListingAge = Millis(30000);
 
   void StartWatch();
   void StartList();
@@ -51,7 +56,7 @@
 
   const Tuning& tuning_;
   Outbox& out_;
-  Mirror& mirror_;
+  StateCache& state_cache_;
   TokenBucket& requests_;
 
   // A list under way. Thousands of jobs take many pages: a page that fails is
@@ -61,17 +66,17 @@
     SteadyTime begun{};
     std::string after;
     uint64_t revision = 0;  // of the first page
-    Mirror fresh;
+    StateCache fresh;
   };
   std::optional<Listing> listing_;
   bool loaded_ = false;
-  bool wanted_ = true;
+  bool read_requested_ = true;
   bool reading_ = false;
   SteadyTime started_{};
   SteadyTime next_{};
-  SteadyTime known_at_{};
-  std::vector<Waiter> waiting_;  // for the next read
-  std::vector<Waiter> served_;   // by the read under way
+  SteadyTime current_as_of_{};
+  std::vector<ReadCallback> waiting_;  // for the next read
+  std::vector<ReadCallback> served_;   // by the read under way
 };
 
 }  // namespace pitchfall
--- a/src/core/team_quota.cc
+++ b/src/core/team_quota.cc
@@ -48,7 +48,7 @@
 
 void TeamQuota::CountEverywhere() {
   everywhere_.clear();
-  for (const auto& [id, job] : context_.mirror.open_jobs()) {
+  for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     const JobSpec& spec = job->spec();
     everywhere_[spec.team] += spec.need * static_cast<int64_t>(job->assigned);
   }
@@ -59,7 +59,7 @@
 }
 
 Resources TeamQuota::UseHere(const std::string& team) const {
-  return Find(held_, team) + Find(planned_, team);
+  return Find(bound_, team) + Find(planned_, team);
 }
 
 TeamRecord TeamQuota::RecordOf(const DraftedTeams& drafted,
@@ -69,8 +69,9 @@
   if (changed != drafted.end()) {
     record = changed->second;
   } else {
-    auto stored = context_.mirror.teams().find(team);
-    if (stored != context_.mirror.teams().end()) record = stored->second.value;
+    auto stored = context_.state_cache.teams().find(team);
+    if (stored != context_.state_cache.teams().end())
+      record = stored->second.value;
   }
   record.shares.resize(
       std::max<size_t>(record.shares.size(), context_.partition_count));
@@ -141,7 +142,7 @@
 
 void TeamQuota::GiveBack(DraftedTeams& drafted, size_t most_added) {
   SteadyTime now = context_.now();
-  for (const auto& [name, stored] : context_.mirror.teams()) {
+  for (const auto& [name, stored] : context_.state_cache.teams()) {
     auto team = context_.deployment.teams.find(name);
     if (team == context_.deployment.teams.end()) continue;
     if (stored.value.shares.size() <= partition_) continue;
--- a/src/core/team_quota.h
+++ b/src/core/team_quota.h
@@ -31,8 +31,8 @@
       : context_(context), partition_(partition) {}
 
   // What this partition's tasks use by what is stored; less if negative.
-  void AddHeld(const std::string& team, const Resources& amount) {
-    held_[team] += amount;
+  void AddBound(const std::string& team, const Resources& amount) {
+    bound_[team] += amount;
   }
   // By how much the transaction being built changes that.
   void AddPlanned(const std::string& team, const Resources& amount) {
@@ -77,7 +77,7 @@
 
   const Context& context_;
   const uint32_t partition_;
-  std::map<std::string, Resources> held_;
+  std::map<std::string, Resources> bound_;
   std::map<std::string, Resources> planned_;
   std::map<std::string, Resources> everywhere_;
   std::map<TeamPriority, Resources> reserved_;
--- a/src/core/users.cc
+++ b/src/core/users.cc
@@ -38,27 +38,27 @@
 }
 
 void Users::Submit(RequestId request, const JobSpec& spec) {
-  if (const Job* job = context_.mirror.FindJob(spec.id)) {
+  if (const Job* job = context_.state_cache.FindJob(spec.id)) {
     if (job->record.final()) {
       AnswerWith(request, *job, false);
     } else {
-      AnswerAfterRead(request, spec.id, false);
+      AnswerAfterNextRead(request, spec.id, false);
     }
     return;
   }
-  if (!context_.follower.Fresh() || !context_.mirror.types()) {
+  if (!context_.state_watcher.Fresh() || !context_.state_cache.types()) {
     context_.out.Refuse(request, Millis(2000));
     return;
   }
-  std::string problem =
-      WhyImpossible(spec, context_.deployment, context_.mirror.types()->value,
-                    context_.state_limits.ValueBytes());
+  std::string problem = WhyImpossible(spec, context_.deployment,
+                                      context_.state_cache.types()->value,
+                                      context_.state_limits.ValueBytes());
   if (!problem.empty()) {
     context_.out.Answer(request, 422, Problem{problem});
     return;
   }
   if (spec.shape == Shape::kService &&
-      !context_.mirror.AllNodesSupport(kStandingJobsVersion)) {
+      !context_.state_cache.AllNodesSupport(kStandingJobsVersion)) {
     context_.out.Refuse(request, kUpgradeRetry);
     return;
   }
@@ -71,16 +71,16 @@
 }
 
 void Users::Poll(RequestId request, const std::string& id) {
-  const Job* job = context_.mirror.FindJob(id);
+  const Job* job = context_.state_cache.FindJob(id);
   if (job != nullptr && job->record.final()) {
     AnswerWith(request, *job, true);
     return;
   }
-  AnswerAfterRead(request, id, true);
+  AnswerAfterNextRead(request, id, true);
 }
 
-void Users::AnswerAfterRead(RequestId request, const std::string& id,
-                            bool counts) {
+void Users::AnswerAfterNextRead(RequestId request, const std::string& id,
+                                bool counts) {
   if (polls_.size() >= kMaxWaitingPolls) {
     context_.out.Refuse(request, Millis(2000));
     return;
@@ -91,7 +91,7 @@
 void Users::ServePolls() {
   if (polls_.empty()) return;
   // A state service that does not answer must not keep users waiting.
-  if (!context_.follower.Fresh()) {
+  if (!context_.state_watcher.Fresh()) {
     for (const WaitingPoll& poll : std::exchange(polls_, {})) {
       context_.out.Refuse(poll.request, Millis(2000));
     }
@@ -104,11 +104,11 @@
   });
   if (serving_polls_ || polls_.empty()) return;
   serving_polls_ = true;
-  context_.follower.AfterRead(
+  context_.state_watcher.AfterNextRead(
       [this, polls = std::exchange(polls_, {})](bool ok) {
         serving_polls_ = false;
         for (const WaitingPoll& poll : polls) {
-          const Job* job = context_.mirror.FindJob(poll.job);
+          const Job* job = context_.state_cache.FindJob(poll.job);
           if (!ok) {
             context_.out.Refuse(poll.request, Millis(2000));
           } else if (job == nullptr) {
@@ -121,12 +121,12 @@
 }
 
 void Users::Cancel(RequestId request, const std::string& id) {
-  const Job* job = context_.mirror.FindJob(id);
+  const Job* job = context_.state_cache.FindJob(id);
   if (job != nullptr && job->record.final()) {
     AnswerWith(request, *job, false);
     return;
   }
-  if (!context_.follower.Fresh()) {
+  if (!context_.state_watcher.Fresh()) {
     context_.out.Refuse(request, Millis(2000));
     return;
   }
@@ -142,10 +142,10 @@
     enqueue();
     return;
   }
-  context_.follower.AfterRead([this, request, id, enqueue](bool ok) {
+  context_.state_watcher.AfterNextRead([this, request, id, enqueue](bool ok) {
     if (!ok) {
       context_.out.Refuse(request, Millis(2000));
-    } else if (context_.mirror.FindJob(id) == nullptr) {
+    } else if (context_.state_cache.FindJob(id) == nullptr) {
       context_.out.Answer(request, 404, Problem{"no such job"});
     } else {
       enqueue();
@@ -245,13 +245,13 @@
   size_t bytes = 0;
   while (!queue_.empty() && batch.size() < context_.state_limits.Operations()) {
     Change& change = queue_.front();
-    const Job* job = context_.mirror.FindJob(change.job);
+    const Job* job = context_.state_cache.FindJob(change.job);
     if (job != nullptr && (job->record.final() || !change.cancel)) {
       for (RequestId request : change.requests) {
         if (job->record.final()) {
           AnswerWith(request, *job, false);
         } else {
-          AnswerAfterRead(request, change.job, false);
+          AnswerAfterNextRead(request, change.job, false);
         }
       }
       queue_.pop_front();
@@ -290,7 +290,7 @@
   next_store_ = context_.now() + kStoreGap;
   if (reply.status == 200) {
     for (const Write& write : txn.writes) {
-      context_.mirror.Apply({write.key, write.value, reply.revision});
+      context_.state_cache.Apply({write.key, write.value, reply.revision});
     }
     for (const Change& change : batch) {
       cancelled_ += change.cancel;
@@ -316,7 +316,7 @@
       }
     };
     if (reply.status == 409) {
-      context_.follower.AfterRead(std::move(retry));
+      context_.state_watcher.AfterNextRead(std::move(retry));
     } else {
       retry(true);
     }
@@ -325,7 +325,7 @@
   // Refused, or no answer: then the outcome is unknown, and a late copy may
   // still be carried out. A job's key is only ever created once, so that the
   // user's next try finds out.
-  context_.follower.Want();
+  context_.state_watcher.RequestRead();
   next_store_ = context_.now() + Millis(200);
   for (const Change& change : batch) Refuse(change, Millis(1000));
 }
--- a/src/core/users.h
+++ b/src/core/users.h
@@ -33,8 +33,9 @@
   };
 
   void AnswerWith(RequestId request, const Job& job, bool counts);
-  // Answers from the mirror once it is known to be current.
-  void AnswerAfterRead(RequestId request, const std::string& job, bool counts);
+  // Answers from the state cache once it is known to be current.
+  void AnswerAfterNextRead(RequestId request, const std::string& job,
+                           bool counts);
   void ServePolls();
   void Enqueue(Change change);
   void Flush();
--- a/src/io/front.cc
+++ b/src/io/front.cc
@@ -124,11 +124,11 @@
          kCrowdedRetry, true);
     return;
   }
-  if (path == wire::kCheckInPath) {
+  if (path == wire::kHeartbeatPath) {
     if (!expect(EVHTTP_REQ_POST)) return;
-    auto report = wire::DecodeReport(ReadBody(request));
-    if (!report.value) return fail(400, report.error);
-    sink_(CheckIn{Hold(request), std::move(*report.value)});
+    auto heartbeat = wire::DecodeWorkerHeartbeat(ReadBody(request));
+    if (!heartbeat.value) return fail(400, heartbeat.error);
+    sink_(ReceiveWorkerHeartbeat{Hold(request), std::move(*heartbeat.value)});
     return;
   }
   if (path == wire::kJobsPath) {
--- a/src/io/peers.cc
+++ b/src/io/peers.cc
@@ -34,8 +34,8 @@
 
 Peers::~Peers() = default;
 
-void Peers::Broadcast(const PeerHello& hello) {
-  std::string message = wire::EncodeHello(hello);
+void Peers::Broadcast(const PeerHeartbeat& heartbeat) {
+  std::string message = wire::EncodePeerHeartbeat(heartbeat);
   for (auto& peer : outgoing_) {
     if (peer->connection &&
         (peer->broken || evbuffer_get_length(bufferevent_get_output(
@@ -91,15 +91,15 @@
     size_t length = evbuffer_get_length(input);
     std::string_view data(
         reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), length);
-    size_t size = wire::HelloSize(data);
+    size_t size = wire::PeerHeartbeatSize(data);
     if (size == 0) {
       peer->owner->incoming_.erase(peer->self);
       return;
     }
     if (size > length) return;
-    auto hello = wire::DecodeHello(data.substr(0, size));
+    auto heartbeat = wire::DecodePeerHeartbeat(data.substr(0, size));
     evbuffer_drain(input, size);
-    if (hello) peer->owner->sink_(std::move(*hello));
+    if (heartbeat) peer->owner->sink_(std::move(*heartbeat));
   }
 }
 
--- a/src/io/peers.h
+++ b/src/io/peers.h
@@ -16,7 +16,7 @@
 
 class Peers {
  public:
-  using Sink = std::function<void(PeerHello)>;
+  using Sink = std::function<void(PeerHeartbeat)>;
 
   Peers(event_base* base, const Address& bind,
         const std::vector<Address>& peers, Sink sink);
@@ -25,7 +25,7 @@
   Peers& operator=(const Peers&) = delete;
 
   // To every peer that can be reached now; nothing is kept for the others.
-  void Broadcast(const PeerHello& hello);
+  void Broadcast(const PeerHeartbeat& heartbeat);
 
  private:
   struct Outgoing {
--- a/src/io/runtime.cc
+++ b/src/io/runtime.cc
@@ -52,7 +52,7 @@
              [this](Command command) { Push(std::move(command)); }),
       peers_(base_.get(), ParseAddress(deployment.peer_bind),
              PeerAddresses(deployment),
-             [this](PeerHello hello) { Push(std::move(hello)); }),
+             [this](PeerHeartbeat heartbeat) { Push(std::move(heartbeat)); }),
       state_(base_.get(), ParseAddress(deployment.state_address),
              kStateConnections),
       cloud_(base_.get(), ParseAddress(deployment.cloud), kCloudConnections),
--- a/src/io/runtime.h
+++ b/src/io/runtime.h
@@ -31,7 +31,9 @@
   void Perform(const StateCall& call);
   void Perform(const CloudCall& call);
   void Perform(const WorkerCall& call);
-  void Perform(const SendHello& send) { peers_.Broadcast(send.hello); }
+  void Perform(const SendPeerHeartbeat& send) {
+    peers_.Broadcast(send.heartbeat);
+  }
   void Perform(const LogLine& line);
 
   EventBase base_;
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -80,8 +80,8 @@
   job = text.substr(0, slash);
 }
 
-std::string TaskId(const Order& order) {
-  return order.job + "/" + std::to_string(order.task);
+std::string TaskId(const WorkerCommand& command) {
+  return command.job + "/" + std::to_string(command.task);
 }
 
 Duration ReadSeconds(const Fields& in, std::string_view key) {
@@ -132,20 +132,20 @@
   return spec;
 }
 
-WorkerReport ReadReport(const Fields& in) {
-  WorkerReport report;
-  report.machine = ReadName(in, "tine");
-  report.address = in.TextOr("addr", "");
-  report.type = ReadName(in, "rig");
-  report.zone = ReadName(in, "yard");
-  report.spot = in.FlagOr("loaners", false);
-  report.agent_epoch = in.Count("shift");
-  report.seq = in.Count("tally");
-  report.fencing_token = in.CountOr("baton", 0);
+WorkerHeartbeat ReadWorkerHeartbeat(const Fields& in) {
+  WorkerHeartbeat heartbeat;
+  heartbeat.machine = ReadName(in, "tine");
+  heartbeat.address = in.TextOr("addr", "");
+  heartbeat.type = ReadName(in, "rig");
+  heartbeat.zone = ReadName(in, "yard");
+  heartbeat.spot = in.FlagOr("loaners", false);
+  heartbeat.agent_epoch = in.Count("shift");
+  heartbeat.seq = in.Count("tally");
+  heartbeat.fencing_token = in.CountOr("baton", 0);
   if (in.Find("recall_s") != nullptr) {
-    report.notice = ReadSeconds(in, "recall_s");
+    heartbeat.notice = ReadSeconds(in, "recall_s");
   }
-  if (in.Find("legs") == nullptr) return report;
+  if (in.Find("legs") == nullptr) return heartbeat;
   const auto& list = in.List("legs");
   for (uint32_t i = 0; i < list.size; ++i) {
     Fields row(list.ptr[i]);
@@ -156,9 +156,9 @@
     if (task.state == TaskState::kExited) {
       task.cause = ReadWord(row, "cause", kCauses);
     }
-    report.tasks.push_back(std::move(task));
+    heartbeat.tasks.push_back(std::move(task));
   }
-  return report;
+  return heartbeat;
 }
 
 template <typename T, typename Read>
@@ -171,16 +171,16 @@
   }
 }
 
-void PackOrders(Packer& out, const std::vector<Order>& orders) {
-  out.Key("orders").List(orders.size());
-  for (const Order& order : orders) {
-    bool stop = order.op == Order::Op::kStop;
+void PackCommands(Packer& out, const std::vector<WorkerCommand>& commands) {
+  out.Key("orders").List(commands.size());
+  for (const WorkerCommand& command : commands) {
+    bool stop = command.op == WorkerCommand::Op::kStop;
     out.Map(stop ? 4 : 3);
-    out.Pair("verb", order.op == Order::Op::kStart  ? "launch"
-                     : order.op == Order::Op::kStop ? "kill"
-                                                    : "forget");
-    out.Pair("leg", TaskId(order)).Pair("try", order.attempt);
-    if (stop) out.Pair("wind_down_s", ToSeconds(order.grace));
+    out.Pair("verb", command.op == WorkerCommand::Op::kStart  ? "launch"
+                     : command.op == WorkerCommand::Op::kStop ? "kill"
+                                                              : "forget");
+    out.Pair("leg", TaskId(command)).Pair("try", command.attempt);
+    if (stop) out.Pair("wind_down_s", ToSeconds(command.grace));
   }
 }
 
@@ -206,9 +206,9 @@
     out.Pair("done", answer.done).Pair("running", answer.running);
   }
 }
-void PackBody(Packer& out, const Orders& orders) {
-  out.Map(2).Pair("baton", orders.fencing_token);
-  PackOrders(out, orders.orders);
+void PackBody(Packer& out, const WorkerCommands& commands) {
+  out.Map(2).Pair("baton", commands.fencing_token);
+  PackCommands(out, commands.commands);
 }
 void PackBody(Packer& out, const Redirect& redirect) {
   if (redirect.owner.empty()) {
@@ -362,8 +362,8 @@
   return DecodeClient<JobSpec>(body, ReadSubmission);
 }
 
-Decoded<WorkerReport> DecodeReport(std::string_view body) {
-  return DecodeClient<WorkerReport>(body, ReadReport);
+Decoded<WorkerHeartbeat> DecodeWorkerHeartbeat(std::string_view body) {
+  return DecodeClient<WorkerHeartbeat>(body, ReadWorkerHeartbeat);
 }
 
 std::string EncodeReplyBody(const ReplyBody& body) {
@@ -470,7 +470,7 @@
     out.Map(3)
         .Pair("baton", command->fencing_token)
         .Pair("shift", command->agent_epoch);
-    PackOrders(out, command->orders);
+    PackCommands(out, command->commands);
     http.body = out.Take();
   } else {
     http.path = "/inspect";
@@ -482,7 +482,7 @@
   WorkerReply reply;
   reply.status = status;
   if (status == 200 || status == 409) {
-    reply.report = DecodeReport(body).value;
+    reply.heartbeat = DecodeWorkerHeartbeat(body).value;
   }
   return reply;
 }
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -23,11 +23,11 @@
 inline constexpr char kJobsPath[] = "/api/jobs";
 inline constexpr char kCancelEnd[] = "/cancel";
 inline constexpr char kHealthPath[] = "/healthz";
-inline constexpr char kCheckInPath[] = "/checkin";
+inline constexpr char kHeartbeatPath[] = "/checkin";
 
 bool ValidJobId(std::string_view id);
 Decoded<JobSpec> DecodeSubmission(std::string_view body);
-Decoded<WorkerReport> DecodeReport(std::string_view body);
+Decoded<WorkerHeartbeat> DecodeWorkerHeartbeat(std::string_view body);
 std::string EncodeReplyBody(const ReplyBody& body);
 
 // ---- Outgoing ----
--- a/src/wire/peer.capnp
+++ b/src/wire/peer.capnp
@@ -5,7 +5,7 @@
 
 # What controllers tell each other, twice a second, and at once when one of them
 # has stored a cancellation.
-struct Hello {
+struct PeerHeartbeat {
   label @0 :Text;
   incarnation @1 :Text;
   sentMicros @2 :Int64;
@@ -16,17 +16,17 @@
   writes @7 :Float64;
   uptimeMicros @8 :Int64;
   revision @9 :UInt64;
-  markMicros @10 :Int64;
+  senderTimeMicros @10 :Int64;
   echoes @11 :List(Echo);
   cancelled @12 :List(Text);
   tokens @13 :List(Token);
 }
 
-# The newest mark that the sender has heard from a controller's incarnation.
+# The newest sender time that the sender has heard from a controller's incarnation.
 struct Echo {
   label @0 :Text;
   incarnation @1 :Text;
-  markMicros @2 :Int64;
+  senderTimeMicros @2 :Int64;
 }
 
 # Of a partition that the sender owns.
--- a/src/wire/peer.cc
+++ b/src/wire/peer.cc
@@ -35,42 +35,44 @@
 
 }  // namespace
 
-std::string EncodeHello(const PeerHello& hello) {
+std::string EncodePeerHeartbeat(const PeerHeartbeat& heartbeat) {
   capnp::MallocMessageBuilder builder;
-  auto root = builder.initRoot<schema::Hello>();
-  root.setLabel(hello.label);
-  root.setIncarnation(hello.incarnation);
-  root.setSentMicros(hello.sent.time_since_epoch().count());
-  root.setStateAgeMicros(hello.state_age.count());
-  auto strays = root.initStrays(static_cast<unsigned>(hello.strays.size()));
-  for (unsigned i = 0; i < strays.size(); ++i) strays.set(i, hello.strays[i]);
-  auto rooms = root.initFree(static_cast<unsigned>(hello.free.size()));
+  auto root = builder.initRoot<schema::PeerHeartbeat>();
+  root.setLabel(heartbeat.label);
+  root.setIncarnation(heartbeat.incarnation);
+  root.setSentMicros(heartbeat.sent.time_since_epoch().count());
+  root.setStateAgeMicros(heartbeat.state_age.count());
+  auto strays = root.initStrays(static_cast<unsigned>(heartbeat.strays.size()));
+  for (unsigned i = 0; i < strays.size(); ++i)
+    strays.set(i, heartbeat.strays[i]);
+  auto rooms = root.initFree(static_cast<unsigned>(heartbeat.free.size()));
   unsigned count = 0;
-  for (const auto& [partition, free] : hello.free) {
+  for (const auto& [partition, free] : heartbeat.free) {
     auto room = rooms[count++];
     room.setPartition(partition);
     PutSlots(room.initAny(FreeRoom::kSizes), free.any);
     PutSlots(room.initOrdinary(FreeRoom::kSizes), free.ordinary);
   }
-  root.setRequests(hello.requests);
-  root.setWrites(hello.writes);
-  root.setUptimeMicros(hello.uptime.count());
-  root.setRevision(hello.revision);
-  root.setMarkMicros(hello.mark.time_since_epoch().count());
-  auto echoes = root.initEchoes(static_cast<unsigned>(hello.echoes.size()));
+  root.setRequests(heartbeat.requests);
+  root.setWrites(heartbeat.writes);
+  root.setUptimeMicros(heartbeat.uptime.count());
+  root.setRevision(heartbeat.revision);
+  root.setSenderTimeMicros(heartbeat.sender_time.time_since_epoch().count());
+  auto echoes = root.initEchoes(static_cast<unsigned>(heartbeat.echoes.size()));
   for (unsigned i = 0; i < echoes.size(); ++i) {
-    echoes[i].setLabel(hello.echoes[i].label);
-    echoes[i].setIncarnation(hello.echoes[i].incarnation);
-    echoes[i].setMarkMicros(hello.echoes[i].mark.time_since_epoch().count());
+    echoes[i].setLabel(heartbeat.echoes[i].label);
+    echoes[i].setIncarnation(heartbeat.echoes[i].incarnation);
+    echoes[i].setSenderTimeMicros(
+        heartbeat.echoes[i].sender_time.time_since_epoch().count());
   }
   auto cancelled =
-      root.initCancelled(static_cast<unsigned>(hello.cancelled.size()));
+      root.initCancelled(static_cast<unsigned>(heartbeat.cancelled.size()));
   for (unsigned i = 0; i < cancelled.size(); ++i) {
-    cancelled.set(i, hello.cancelled[i]);
+    cancelled.set(i, heartbeat.cancelled[i]);
   }
-  auto tokens = root.initTokens(static_cast<unsigned>(hello.tokens.size()));
+  auto tokens = root.initTokens(static_cast<unsigned>(heartbeat.tokens.size()));
   count = 0;
-  for (const auto& [partition, fencing_token] : hello.tokens) {
+  for (const auto& [partition, fencing_token] : heartbeat.tokens) {
     tokens[count].setPartition(partition);
     tokens[count++].setToken(fencing_token);
   }
@@ -79,47 +81,49 @@
   return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
-size_t HelloSize(std::string_view data) {
+size_t PeerHeartbeatSize(std::string_view data) {
   auto words = Aligned(data.substr(0, kMostBytes));
   if (words.size() == 0) return kWord;
   size_t size = capnp::expectedSizeInWordsFromPrefix(words) * kWord;
   return size > kMostBytes ? 0 : size;
 }
 
-std::optional<PeerHello> DecodeHello(std::string_view message) {
+std::optional<PeerHeartbeat> DecodePeerHeartbeat(std::string_view message) {
   try {
     auto words = Aligned(message);
     capnp::ReaderOptions options;
     options.traversalLimitInWords = kMostBytes / kWord * 4;
     capnp::FlatArrayMessageReader reader(words, options);
-    auto root = reader.getRoot<schema::Hello>();
-    PeerHello hello;
-    hello.label = root.getLabel().cStr();
-    hello.incarnation = root.getIncarnation().cStr();
-    hello.sent = WallTime(Duration(root.getSentMicros()));
-    hello.state_age = Duration(root.getStateAgeMicros());
-    for (uint32_t strays : root.getStrays()) hello.strays.push_back(strays);
+    auto root = reader.getRoot<schema::PeerHeartbeat>();
+    PeerHeartbeat heartbeat;
+    heartbeat.label = root.getLabel().cStr();
+    heartbeat.incarnation = root.getIncarnation().cStr();
+    heartbeat.sent = WallTime(Duration(root.getSentMicros()));
+    heartbeat.state_age = Duration(root.getStateAgeMicros());
+    for (uint32_t strays : root.getStrays()) heartbeat.strays.push_back(strays);
     for (auto room : root.getFree()) {
-      FreeRoom& free = hello.free[room.getPartition()];
+      FreeRoom& free = heartbeat.free[room.getPartition()];
       GetSlots(room.getAny(), free.any);
       GetSlots(room.getOrdinary(), free.ordinary);
     }
-    hello.requests = root.getRequests();
-    hello.writes = root.getWrites();
-    hello.uptime = Duration(root.getUptimeMicros());
-    hello.revision = root.getRevision();
-    hello.mark = SteadyTime(Duration(root.getMarkMicros()));
+    heartbeat.requests = root.getRequests();
+    heartbeat.writes = root.getWrites();
+    heartbeat.uptime = Duration(root.getUptimeMicros());
+    heartbeat.revision = root.getRevision();
+    heartbeat.sender_time = SteadyTime(Duration(root.getSenderTimeMicros()));
     for (auto echo : root.getEchoes()) {
-      hello.echoes.push_back({echo.getLabel().cStr(),
-                              echo.getIncarnation().cStr(),
-                              SteadyTime(Duration(echo.getMarkMicros()))});
+      heartbeat.echoes.push_back(
+          {echo.getLabel().cStr(), echo.getIncarnation().cStr(),
+           SteadyTime(Duration(echo.getSenderTimeMicros()))});
     }
-    for (auto id : root.getCancelled()) hello.cancelled.push_back(id.cStr());
+    for (auto id : root.getCancelled())
+      heartbeat.cancelled.push_back(id.cStr());
     for (auto fencing_token : root.getTokens()) {
-      hello.tokens[fencing_token.getPartition()] = fencing_token.getToken();
+      heartbeat.tokens[fencing_token.getPartition()] = fencing_token.getToken();
     }
-    if (!(hello.requests >= 0) || !(hello.writes >= 0)) return std::nullopt;
-    return hello;
+    if (!(heartbeat.requests >= 0) || !(heartbeat.writes >= 0))
+      return std::nullopt;
+    return heartbeat;
   } catch (const kj::Exception&) {
     return std::nullopt;
   }
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -10,12 +10,12 @@
 
 namespace pitchfall::wire {
 
-std::string EncodeHello(const PeerHello& hello);
+std::string EncodePeerHeartbeat(const PeerHeartbeat& heartbeat);
 
 // How many bytes the message that starts with `data` takes, as far as can be
 // told from these bytes; 0 if it breaks the bounds.
-size_t HelloSize(std::string_view data);
-std::optional<PeerHello> DecodeHello(std::string_view message);
+size_t PeerHeartbeatSize(std::string_view data);
+std::optional<PeerHeartbeat> DecodePeerHeartbeat(std::string_view message);
 
 }  // namespace pitchfall::wire
 
--- a/tests/bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "core/cancellation_watermark.h"
 #include "core/partition.h"
-#include "core/vouchers.h"
 
 namespace pitchfall {
 namespace {
@@ -22,37 +22,37 @@
   d.peers = {{"node-1", ""}, {"node-2", ""}};
   d.worker_lease = Seconds(26.5);
   d.cancel = Seconds(46.5);
-  d.report = Seconds(5);
+  d.heartbeat_interval = Seconds(5);
   return d;
 }
 
 // An owner by itself: its reads and its workers are played by hand.
-class Bound : public ::testing::Test {
+class AnswerBound : public ::testing::Test {
  protected:
-  Bound()
+  AnswerBound()
       : deployment_(HuntSized()),
         requests_(1000, 1000),
         writes_(1000, 1000),
         cloud_(1000, 1000),
-        follower_(tuning_, out_, mirror_, requests_),
+        state_watcher_(tuning_, out_, state_cache_, requests_),
         context_{deployment_,
                  tuning_,
                  out_,
-                 mirror_,
-                 follower_,
+                 state_cache_,
+                 state_watcher_,
                  requests_,
                  writes_,
                  cloud_,
                  "life",
                  1,
                  RoomBook(1),
-                 Vouchers(deployment_, deployment_.label, "life"),
+                 CancellationWatermark(deployment_, deployment_.label, "life"),
                  StateLimits(deployment_)} {
-    tuning_.hold_report = Duration(0);
+    tuning_.heartbeat_hold = Duration(0);
     SetNow(Seconds(1000));
     Read();  // the list
     Read();  // what came since: everything is known as of here
-    known_at_ = now_.steady;
+    current_as_of_ = now_.steady;
     partition_ = std::make_unique<Partition>(context_, 0, kFencingToken);
   }
 
@@ -62,10 +62,10 @@
   }
   void Advance(Duration by) { SetNow(now_.steady.time_since_epoch() + by); }
 
-  // One read of the follower's that succeeds at once.
+  // One read of the state watcher's that succeeds at once.
   void Read() {
     Advance(Millis(500));
-    follower_.Step();
+    state_watcher_.Step();
     for (const Effect& effect : out_.TakeEffects()) {
       const auto* call = std::get_if<StateCall>(&effect);
       if (call == nullptr) continue;
@@ -77,22 +77,24 @@
     }
   }
 
-  WorkerReport ReportOf(uint64_t seq, std::vector<ReportedTask> tasks = {}) {
-    WorkerReport report;
-    report.machine = "m-1";
-    report.address = "m-1:1";
-    report.type = "c8";
-    report.zone = "a";
-    report.agent_epoch = 1;
-    report.seq = seq;
-    report.fencing_token = kFencingToken;
-    report.tasks = std::move(tasks);
-    return report;
+  WorkerHeartbeat HeartbeatOf(uint64_t seq,
+                              std::vector<ReportedTask> tasks = {}) {
+    WorkerHeartbeat heartbeat;
+    heartbeat.machine = "m-1";
+    heartbeat.address = "m-1:1";
+    heartbeat.type = "c8";
+    heartbeat.zone = "a";
+    heartbeat.agent_epoch = 1;
+    heartbeat.seq = seq;
+    heartbeat.fencing_token = kFencingToken;
+    heartbeat.tasks = std::move(tasks);
+    return heartbeat;
   }
 
-  // The status of the answer to a report that comes now; its effects are kept.
-  int StatusOfReport(uint64_t seq, std::vector<ReportedTask> tasks = {}) {
-    partition_->CheckIn(seq, ReportOf(seq, std::move(tasks)));
+  // The status of the answer to a heartbeat that comes now; its effects are
+  // kept.
+  int StatusOfHeartbeat(uint64_t seq, std::vector<ReportedTask> tasks = {}) {
+    partition_->OnWorkerHeartbeat(seq, HeartbeatOf(seq, std::move(tasks)));
     partition_->Step();
     effects_ = out_.TakeEffects();
     for (const Effect& effect : effects_) {
@@ -107,27 +109,27 @@
     return 0;
   }
 
-  PeerHello Voucher(const std::string& label, SteadyTime mark) {
-    PeerHello hello;
-    hello.label = label;
-    hello.incarnation = "any";
-    hello.uptime = Seconds(500);
-    hello.echoes = {{"node-0", "life", mark}};
-    return hello;
+  PeerHeartbeat PeerEcho(const std::string& label, SteadyTime sender_time) {
+    PeerHeartbeat heartbeat;
+    heartbeat.label = label;
+    heartbeat.incarnation = "any";
+    heartbeat.uptime = Seconds(500);
+    heartbeat.echoes = {{"node-0", "life", sender_time}};
+    return heartbeat;
   }
 
   Deployment deployment_;
   Tuning tuning_;
   Outbox out_;
-  Mirror mirror_;
+  StateCache state_cache_;
   TokenBucket requests_;
   TokenBucket writes_;
   TokenBucket cloud_;
-  Follower follower_;
+  StateWatcher state_watcher_;
   Context context_;
   std::unique_ptr<Partition> partition_;
   Now now_{};
-  SteadyTime known_at_{};
+  SteadyTime current_as_of_{};
   std::vector<Effect> effects_;
   std::string redirect_;
 };
@@ -135,91 +137,111 @@
 // cancel 46.5 - lease 26.5 with 0.1% for drift (26.5265) - 2 = 17.9735 s after
 // the last read began. A second more, and a cancellation confirmed right after
 // that read would not be carried out in time on a worker whose clock is slow.
-TEST_F(Bound, EndsWhereACancellationCouldComeTooLate) {
+TEST_F(AnswerBound, EndsWhereACancellationCouldComeTooLate) {
   Advance(Millis(17973));
-  EXPECT_EQ(StatusOfReport(1), 200);
+  EXPECT_EQ(StatusOfHeartbeat(1), 200);
   Advance(Millis(1));
-  EXPECT_EQ(StatusOfReport(2), 503);
+  EXPECT_EQ(StatusOfHeartbeat(2), 503);
   Advance(Seconds(1));
-  EXPECT_EQ(StatusOfReport(3), 503);
+  EXPECT_EQ(StatusOfHeartbeat(3), 503);
 }
 
-TEST_F(Bound, CountsFromTheOldestVoucherOfAllOthers) {
+TEST_F(AnswerBound, CountsFromTheOldestEchoOfAllPeers) {
   Advance(Seconds(10));
   SteadyTime early = now_.steady;
   Advance(Seconds(5));
   SteadyTime late = now_.steady;
-  context_.vouchers.Hear(Voucher("node-1", late), now_.steady, known_at_);
+  context_.cancellation_watermark.OnPeerHeartbeat(PeerEcho("node-1", late),
+                                                  now_.steady, current_as_of_);
   // One of them says nothing: nothing is gained.
-  EXPECT_EQ(context_.vouchers.KnownUntil(known_at_, now_.steady), known_at_);
-  context_.vouchers.Hear(Voucher("node-2", early), now_.steady, known_at_);
-  EXPECT_EQ(context_.vouchers.KnownUntil(known_at_, now_.steady), early);
+  EXPECT_EQ(context_.cancellation_watermark.CancellationsKnownUntil(
+                current_as_of_, now_.steady),
+            current_as_of_);
+  context_.cancellation_watermark.OnPeerHeartbeat(PeerEcho("node-2", early),
+                                                  now_.steady, current_as_of_);
+  EXPECT_EQ(context_.cancellation_watermark.CancellationsKnownUntil(
+                current_as_of_, now_.steady),
+            early);
   // 10 + 17.9735 s after the read.
   Advance(Millis(12973));
-  EXPECT_EQ(StatusOfReport(1), 200);
+  EXPECT_EQ(StatusOfHeartbeat(1), 200);
   Advance(Millis(1));
-  EXPECT_EQ(StatusOfReport(2), 503);
+  EXPECT_EQ(StatusOfHeartbeat(2), 503);
 }
 
-TEST_F(Bound, AnIncarnationThatBeganAfterTheLastReadDoesNotCount) {
+TEST_F(AnswerBound, AnIncarnationThatBeganAfterTheLastReadDoesNotCount) {
   Advance(Seconds(10));
   for (const char* label : {"node-1", "node-2"}) {
-    PeerHello hello = Voucher(label, now_.steady);
+    PeerHeartbeat heartbeat = PeerEcho(label, now_.steady);
     // By its own clock, which may be fast, not before the read for sure.
-    hello.uptime = Millis(10005);
-    context_.vouchers.Hear(hello, now_.steady, known_at_);
+    heartbeat.uptime = Millis(10005);
+    context_.cancellation_watermark.OnPeerHeartbeat(heartbeat, now_.steady,
+                                                    current_as_of_);
   }
-  EXPECT_EQ(context_.vouchers.KnownUntil(known_at_, now_.steady), known_at_);
+  EXPECT_EQ(context_.cancellation_watermark.CancellationsKnownUntil(
+                current_as_of_, now_.steady),
+            current_as_of_);
   for (const char* label : {"node-1", "node-2"}) {
-    PeerHello hello = Voucher(label, now_.steady);
-    hello.uptime = Millis(10011);
-    context_.vouchers.Hear(hello, now_.steady, known_at_);
+    PeerHeartbeat heartbeat = PeerEcho(label, now_.steady);
+    heartbeat.uptime = Millis(10011);
+    context_.cancellation_watermark.OnPeerHeartbeat(heartbeat, now_.steady,
+                                                    current_as_of_);
   }
-  EXPECT_EQ(context_.vouchers.KnownUntil(known_at_, now_.steady), now_.steady);
+  EXPECT_EQ(context_.cancellation_watermark.CancellationsKnownUntil(
+                current_as_of_, now_.steady),
+            now_.steady);
 }
 
-TEST_F(Bound, EchoesOfAnEarlierIncarnationOrFromStrangersDoNotCount) {
+TEST_F(AnswerBound, EchoesOfAnEarlierIncarnationOrFromStrangersDoNotCount) {
   Advance(Seconds(10));
   for (const char* label : {"node-1", "node-2"}) {
-    PeerHello hello = Voucher(label, now_.steady);
-    hello.echoes[0].incarnation = "former";
-    context_.vouchers.Hear(hello, now_.steady, known_at_);
-    hello.echoes[0] = {"node-7", "life", now_.steady};
-    context_.vouchers.Hear(hello, now_.steady, known_at_);
-    hello.echoes[0] = {"node-0", "life", now_.steady + Millis(1)};
-    context_.vouchers.Hear(hello, now_.steady, known_at_);
+    PeerHeartbeat heartbeat = PeerEcho(label, now_.steady);
+    heartbeat.echoes[0].incarnation = "former";
+    context_.cancellation_watermark.OnPeerHeartbeat(heartbeat, now_.steady,
+                                                    current_as_of_);
+    heartbeat.echoes[0] = {"node-7", "life", now_.steady};
+    context_.cancellation_watermark.OnPeerHeartbeat(heartbeat, now_.steady,
+                                                    current_as_of_);
+    heartbeat.echoes[0] = {"node-0", "life", now_.steady + Millis(1)};
+    context_.cancellation_watermark.OnPeerHeartbeat(heartbeat, now_.steady,
+                                                    current_as_of_);
   }
-  context_.vouchers.Hear(Voucher("node-9", now_.steady), now_.steady,
-                         known_at_);
-  EXPECT_EQ(context_.vouchers.KnownUntil(known_at_, now_.steady), known_at_);
+  context_.cancellation_watermark.OnPeerHeartbeat(
+      PeerEcho("node-9", now_.steady), now_.steady, current_as_of_);
+  EXPECT_EQ(context_.cancellation_watermark.CancellationsKnownUntil(
+                current_as_of_, now_.steady),
+            current_as_of_);
 }
 
 // A message that the network held back takes nothing away.
-TEST_F(Bound, OldVouchersAreNoNews) {
+TEST_F(AnswerBound, OldEchoesAreNoNews) {
   Advance(Seconds(10));
   SteadyTime then = now_.steady;
   for (const char* label : {"node-1", "node-2"}) {
-    context_.vouchers.Hear(Voucher(label, then), now_.steady, known_at_);
-    context_.vouchers.Hear(Voucher(label, then - Seconds(4)), now_.steady,
-                           known_at_);
+    context_.cancellation_watermark.OnPeerHeartbeat(
+        PeerEcho(label, then), now_.steady, current_as_of_);
+    context_.cancellation_watermark.OnPeerHeartbeat(
+        PeerEcho(label, then - Seconds(4)), now_.steady, current_as_of_);
   }
-  EXPECT_EQ(context_.vouchers.KnownUntil(known_at_, now_.steady), then);
+  EXPECT_EQ(context_.cancellation_watermark.CancellationsKnownUntil(
+                current_as_of_, now_.steady),
+            then);
 }
 
-TEST_F(Bound, AloneNobodyElseCanHaveToldAnything) {
+TEST_F(AnswerBound, AloneNobodyElseCanHaveToldAnything) {
   deployment_.peers.clear();
-  Vouchers alone(deployment_, "node-0", "life");
-  SteadyTime later = known_at_ + Seconds(1000);
-  EXPECT_EQ(alone.KnownUntil(known_at_, later), later);
+  CancellationWatermark alone(deployment_, "node-0", "life");
+  SteadyTime later = current_as_of_ + Seconds(1000);
+  EXPECT_EQ(alone.CancellationsKnownUntil(current_as_of_, later), later);
 }
 
 // Another controller that owns the partition says so: whatever the clock says,
 // nothing is answered any more, and workers are sent there.
-TEST_F(Bound, EndsWhenALaterOwnerIsHeard) {
-  partition_->HearOwner("node-2", kFencingToken - 1);  // an earlier one
-  EXPECT_EQ(StatusOfReport(1), 200);
-  partition_->HearOwner("node-2", kFencingToken + 1);
-  EXPECT_EQ(StatusOfReport(2), 421);
+TEST_F(AnswerBound, EndsWhenALaterOwnerIsHeard) {
+  partition_->OnPeerClaim("node-2", kFencingToken - 1);  // an earlier one
+  EXPECT_EQ(StatusOfHeartbeat(1), 200);
+  partition_->OnPeerClaim("node-2", kFencingToken + 1);
+  EXPECT_EQ(StatusOfHeartbeat(2), 421);
   EXPECT_EQ(redirect_, "node-2");
 }
 
@@ -228,12 +250,12 @@
 // A write that got no answer may be carried out any time later. Before anything
 // else is written the write fence changes, on which it depended, and what is
 // written after depends on the new one.
-TEST_F(Bound, AfterAWriteWithoutAnAnswerTheFenceIsRaisedFirst) {
+TEST_F(AnswerBound, AfterAWriteWithoutAnAnswerTheFenceIsRaisedFirst) {
   auto write = [this]() -> std::optional<StateCall> {
     for (int step = 0; step < 100; ++step) {
       Advance(Millis(50));
       partition_->Step();
-      follower_.Step();
+      state_watcher_.Step();
       std::optional<StateCall> found;
       for (const Effect& effect : out_.TakeEffects()) {
         const auto* call = std::get_if<StateCall>(&effect);
@@ -295,7 +317,7 @@
 
 // ---- Stops sent directly, and starts ----
 
-class DirectStops : public Bound {
+class DirectStops : public AnswerBound {
  protected:
   DirectStops() {
     JobSpec spec;
@@ -306,11 +328,11 @@
     JobRecord job;
     job.spec = spec;
     job.chunk_size = 8;
-    mirror_.Apply({keys::Job("run-1"), job, 201});
+    state_cache_.Apply({keys::Job("run-1"), job, 201});
     ChunkRecord chunk;
     chunk.assigned.push_back({0, 1, "m-1", "a"});
     chunk.next_attempt = 2;
-    mirror_.Apply(
+    state_cache_.Apply(
         {keys::Segment(0, 0), SegmentRecord{{{"run-1", 0, chunk}}}, 202});
   }
 
@@ -320,7 +342,7 @@
       const auto* call = std::get_if<WorkerCall>(&effect);
       if (call == nullptr) continue;
       const auto* command = std::get_if<CommandWorker>(&call->request);
-      if (command != nullptr && !command->orders.empty()) {
+      if (command != nullptr && !command->commands.empty()) {
         calls.push_back(*call);
       }
     }
@@ -331,9 +353,9 @@
     for (const Effect& effect : effects_) {
       const auto* reply = std::get_if<Reply>(&effect);
       if (reply == nullptr) continue;
-      if (const auto* orders = std::get_if<Orders>(&reply->body)) {
-        for (const Order& order : orders->orders) {
-          count += order.op == Order::Op::kStart;
+      if (const auto* commands = std::get_if<WorkerCommands>(&reply->body)) {
+        for (const WorkerCommand& command : commands->commands) {
+          count += command.op == WorkerCommand::Op::kStart;
         }
       }
     }
@@ -347,39 +369,39 @@
   }
 };
 
-// The start travels in the answer to a report; before another report shows it
-// the job is called off.
-TEST_F(DirectStops, ReachAStartThatNoReportShowsYet) {
-  HeldTask own;
-  own.job = mirror_.FindJob("run-1");
+// The start travels in the answer to a heartbeat; before another heartbeat
+// shows it the job is called off.
+TEST_F(DirectStops, ReachAStartThatNoHeartbeatShowsYet) {
+  BoundAttempt own;
+  own.job = state_cache_.FindJob("run-1");
   own.attempt = 1;
   own.start_sent = std::pair<uint64_t, uint64_t>(1, 2);
   Machine machine;
-  machine.held[{"run-1", 0}] = own;
-  OrderPolicy policy;
-  policy.wanted = [](const HeldTask&) { return false; };
-  ASSERT_EQ(MakeDirectStops(machine, policy).size(), 1u);
-  EXPECT_TRUE(MakeDirectStops(machine, policy).empty());  // once
+  machine.bound[{"run-1", 0}] = own;
+  CommandPolicy policy;
+  policy.wanted = [](const BoundAttempt&) { return false; };
+  ASSERT_EQ(BuildDirectStops(machine, policy).size(), 1u);
+  EXPECT_TRUE(BuildDirectStops(machine, policy).empty());  // once
   // One that has not been sent needs no stop.
-  machine.held.begin()->second.start_sent.reset();
-  machine.held.begin()->second.stop_sent = false;
-  EXPECT_TRUE(MakeDirectStops(machine, policy).empty());
+  machine.bound.begin()->second.start_sent.reset();
+  machine.bound.begin()->second.stop_sent = false;
+  EXPECT_TRUE(BuildDirectStops(machine, policy).empty());
 }
 
 // What was assigned is started only while the state is known to be as of the
 // last two seconds.
 TEST_F(DirectStops, NothingStartsOnOldKnowledge) {
   writes_.Drain(now_.steady);  // nothing is stored meanwhile
-  StatusOfReport(1);           // the first after a silence may be an old copy
+  StatusOfHeartbeat(1);        // the first after a silence may be an old copy
   Advance(Millis(2000));
-  ASSERT_EQ(StatusOfReport(2), 200);
+  ASSERT_EQ(StatusOfHeartbeat(2), 200);
   EXPECT_EQ(StartsSent(), 0u);
 }
 
 // A machine that is heard again after a silence takes nothing at first, and
 // what is bound to it and was not started yet is taken back. While that is
-// being stored the next report comes: the task must not start here now, since
-// it may start elsewhere as soon as the write is through.
+// being stored the next heartbeat comes: the task must not start here now,
+// since it may start elsewhere as soon as the write is through.
 TEST_F(DirectStops, NothingStartsWhoseEndIsBeingStored) {
   auto storing = [this]() -> const StateCall* {
     for (const Effect& effect : effects_) {
@@ -389,14 +411,14 @@
     }
     return nullptr;
   };
-  StatusOfReport(1);
+  StatusOfHeartbeat(1);
   const StateCall* call = storing();
   ASSERT_NE(call, nullptr);
   CallId id = call->call;
   Advance(Millis(600));
-  ASSERT_EQ(StatusOfReport(2), 200);
+  ASSERT_EQ(StatusOfHeartbeat(2), 200);
   EXPECT_EQ(StartsSent(), 0u);
-  // Refused: it is bound as before, and starts with the next report.
+  // Refused: it is bound as before, and starts with the next heartbeat.
   StateReply refused;
   refused.call = id;
   refused.status = 503;
@@ -404,7 +426,7 @@
   Advance(Millis(500));
   partition_->Step();
   Advance(Millis(100));
-  ASSERT_EQ(StatusOfReport(3), 200);
+  ASSERT_EQ(StatusOfHeartbeat(3), 200);
   EXPECT_EQ(StartsSent(), 1u);
 }
 
@@ -412,12 +434,12 @@
 // one is carried out.
 TEST_F(DirectStops, AreRepeatedUntilOneIsCarriedOut) {
   ReportedTask running{"run-1", 0, 1, TaskState::kRunning, ExitCause::kNone};
-  StatusOfReport(1, {running});
+  StatusOfHeartbeat(1, {running});
   Advance(Millis(600));
-  ASSERT_EQ(StatusOfReport(2, {running}), 200);
+  ASSERT_EQ(StatusOfHeartbeat(2, {running}), 200);
   EXPECT_TRUE(StopCalls().empty());
   // Another controller tells that it has stored the cancellation.
-  context_.told_cancelled.insert("run-1");
+  context_.cancelled_by_peers.insert("run-1");
   std::vector<WorkerCall> first = StepLater(Millis(50));
   ASSERT_EQ(first.size(), 1u);
   EXPECT_TRUE(StepLater(Millis(50)).empty());  // under way
@@ -440,30 +462,30 @@
 // ---- What is told ----
 
 TEST(CancelledSince, IsWholeOrNothing) {
-  Mirror mirror;
+  StateCache state_cache;
   auto apply = [&](const std::string& id, uint64_t mod_revision,
                    JobState state) {
     JobRecord record;
     record.spec.id = id;
     record.spec.tasks = 1;
     record.state = state;
-    mirror.Apply({keys::Job(id), record, mod_revision});
+    state_cache.Apply({keys::Job(id), record, mod_revision});
   };
   apply("run-1", 1, JobState::kAccepted);
   apply("run-2", 2, JobState::kDone);
   apply("run-1", 3, JobState::kCancelled);
   apply("run-3", 5, JobState::kCancelled);
   using Ids = std::vector<std::string>;
-  EXPECT_EQ(mirror.CancelledSince(0, 10), (Ids{"run-1", "run-3"}));
-  EXPECT_EQ(mirror.CancelledSince(3, 10), (Ids{"run-3"}));
-  EXPECT_EQ(mirror.CancelledSince(5, 10), Ids{});
-  EXPECT_EQ(mirror.CancelledSince(0, 1), std::nullopt);
+  EXPECT_EQ(state_cache.CancelledSince(0, 10), (Ids{"run-1", "run-3"}));
+  EXPECT_EQ(state_cache.CancelledSince(3, 10), (Ids{"run-3"}));
+  EXPECT_EQ(state_cache.CancelledSince(5, 10), Ids{});
+  EXPECT_EQ(state_cache.CancelledSince(0, 1), std::nullopt);
   // Of very many the oldest are left out, which has to show.
   for (uint64_t n = 10; n < 3010; ++n) {
     apply("run-9" + std::to_string(n), n, JobState::kCancelled);
   }
-  EXPECT_EQ(mirror.CancelledSince(5, 10000), std::nullopt);
-  EXPECT_EQ(mirror.CancelledSince(3000, 10000)->size(), 9u);
+  EXPECT_EQ(state_cache.CancelledSince(5, 10000), std::nullopt);
+  EXPECT_EQ(state_cache.CancelledSince(3000, 10000)->size(), 9u);
 }
 
 }  // namespace
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -177,7 +177,7 @@
   }
 }
 
-TEST(Report, IsUnderstood) {
+TEST(Heartbeat, IsUnderstood) {
   Packer out;
   out.Map(9).Pair("tine", "m-000231").Pair("addr", "10.1.0.232:9000");
   out.Pair("rig", "g8").Pair("yard", "a").Pair("loaners", true);
@@ -187,13 +187,13 @@
   out.Pair("status", "running");
   out.Map(4).Pair("leg", "run-000398/0").Pair("try", 1);
   out.Pair("status", "exited").Pair("cause", "done");
-  auto report = DecodeReport(out.Take()).value;
-  ASSERT_TRUE(report);
-  EXPECT_EQ(report->fencing_token, 41u);
-  ASSERT_EQ(report->tasks.size(), 2u);
-  EXPECT_EQ(report->tasks[0].job, "run-000412");
-  EXPECT_EQ(report->tasks[0].task, 3u);
-  EXPECT_EQ(report->tasks[1].cause, ExitCause::kDone);
+  auto heartbeat = DecodeWorkerHeartbeat(out.Take()).value;
+  ASSERT_TRUE(heartbeat);
+  EXPECT_EQ(heartbeat->fencing_token, 41u);
+  ASSERT_EQ(heartbeat->tasks.size(), 2u);
+  EXPECT_EQ(heartbeat->tasks[0].job, "run-000412");
+  EXPECT_EQ(heartbeat->tasks[0].task, 3u);
+  EXPECT_EQ(heartbeat->tasks[1].cause, ExitCause::kDone);
 }
 
 // ---- Records ----
@@ -352,23 +352,23 @@
 TEST(Fuzz, NoDecoderTrustsItsInput) {
   std::mt19937 random(20261201);
   const std::string submission = Submission();
-  PeerHello hello;
-  hello.label = "node-0";
-  hello.incarnation = "abc";
-  hello.strays = {1, 2, 3};
-  hello.free[1].any = {5, 6};
-  hello.echoes = {{"node-1", "0a", SteadyTime(Seconds(9))}};
-  hello.cancelled = {"run-1", "run-2"};
-  hello.tokens = {{0, 12}};
-  const std::string peer = EncodeHello(hello);
+  PeerHeartbeat peer_heartbeat;
+  peer_heartbeat.label = "node-0";
+  peer_heartbeat.incarnation = "abc";
+  peer_heartbeat.strays = {1, 2, 3};
+  peer_heartbeat.free[1].any = {5, 6};
+  peer_heartbeat.echoes = {{"node-1", "0a", SteadyTime(Seconds(9))}};
+  peer_heartbeat.cancelled = {"run-1", "run-2"};
+  peer_heartbeat.tokens = {{0, 12}};
+  const std::string peer = EncodePeerHeartbeat(peer_heartbeat);
   const std::string record =
       Packed(SegmentRecord{{{"run-1", 0, RandomChunk(random)}}});
-  Packer report_out;
-  report_out.Map(6).Pair("tine", "m-1").Pair("rig", "g").Pair("yard", "a");
-  report_out.Pair("shift", 1).Pair("tally", 2).Key("legs").List(1);
-  report_out.Map(3).Pair("leg", "run-1/0").Pair("try", 1);
-  report_out.Pair("status", "running");
-  const std::string report = report_out.Take();
+  Packer heartbeat_out;
+  heartbeat_out.Map(6).Pair("tine", "m-1").Pair("rig", "g").Pair("yard", "a");
+  heartbeat_out.Pair("shift", 1).Pair("tally", 2).Key("legs").List(1);
+  heartbeat_out.Map(3).Pair("leg", "run-1/0").Pair("try", 1);
+  heartbeat_out.Pair("status", "running");
+  const std::string heartbeat = heartbeat_out.Take();
   int understood = 0;
   for (int round = 0; round < 20000; ++round) {
     auto spec = DecodeSubmission(Mutate(submission, random));
@@ -382,60 +382,62 @@
     } else {
       EXPECT_FALSE(spec.error.empty());
     }
-    DecodeReport(Mutate(report, random));
+    DecodeWorkerHeartbeat(Mutate(heartbeat, random));
     std::string bytes = Mutate(peer, random);
-    size_t size = HelloSize(bytes);
+    size_t size = PeerHeartbeatSize(bytes);
     if (size != 0 && size <= bytes.size()) {
-      DecodeHello(std::string_view(bytes).substr(0, size));
+      DecodePeerHeartbeat(std::string_view(bytes).substr(0, size));
     }
     try {
       Unpacked("pf/segments/0/0", Mutate(record, random));
     } catch (const Malformed&) {
     }
     DecodeState(WatchRead{}, 200, Mutate(record, random));
-    DecodeCloud(ListMachines{}, 200, Mutate(report, random));
+    DecodeCloud(ListMachines{}, 200, Mutate(heartbeat, random));
   }
   EXPECT_GT(understood, 0);
 }
 
-TEST(Hello, ComesBackAsItWas) {
-  PeerHello hello;
-  hello.label = "node-1";
-  hello.incarnation = "00ff";
-  hello.sent = WallTime(Seconds(12));
-  hello.state_age = Millis(250);
-  hello.strays = {0, 4};
-  hello.free[1].any = {16000000, 16000000, 8000000};
-  hello.free[1].ordinary = {8000000};
-  hello.writes = 2.5;
-  hello.uptime = Seconds(77);
-  hello.revision = 4711;
-  hello.mark = SteadyTime(Seconds(1234.5));
-  hello.echoes = {{"node-0", "0a", SteadyTime(Seconds(9))},
-                  {"node-2", "0b", SteadyTime(Seconds(8))}};
-  hello.cancelled = {"run-1", "run-22"};
-  hello.tokens = {{0, 12}, {3, 1ull << 60}};
-  std::string bytes = EncodeHello(hello);
-  ASSERT_EQ(HelloSize(bytes), bytes.size());
-  auto back = DecodeHello(bytes);
+TEST(PeerHeartbeat, ComesBackAsItWas) {
+  PeerHeartbeat heartbeat;
+  heartbeat.label = "node-1";
+  heartbeat.incarnation = "00ff";
+  heartbeat.sent = WallTime(Seconds(12));
+  heartbeat.state_age = Millis(250);
+  heartbeat.strays = {0, 4};
+  heartbeat.free[1].any = {16000000, 16000000, 8000000};
+  heartbeat.free[1].ordinary = {8000000};
+  heartbeat.writes = 2.5;
+  heartbeat.uptime = Seconds(77);
+  heartbeat.revision = 4711;
+  heartbeat.sender_time = SteadyTime(Seconds(1234.5));
+  heartbeat.echoes = {{"node-0", "0a", SteadyTime(Seconds(9))},
+                      {"node-2", "0b", SteadyTime(Seconds(8))}};
+  heartbeat.cancelled = {"run-1", "run-22"};
+  heartbeat.tokens = {{0, 12}, {3, 1ull << 60}};
+  std::string bytes = EncodePeerHeartbeat(heartbeat);
+  ASSERT_EQ(PeerHeartbeatSize(bytes), bytes.size());
+  auto back = DecodePeerHeartbeat(bytes);
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->label, hello.label);
-  EXPECT_EQ(back->sent, hello.sent);
-  EXPECT_EQ(back->strays, hello.strays);
-  EXPECT_EQ(back->free, hello.free);
-  EXPECT_EQ(back->writes, hello.writes);
-  EXPECT_EQ(back->uptime, hello.uptime);
-  EXPECT_EQ(back->revision, hello.revision);
-  EXPECT_EQ(back->mark, hello.mark);
+  EXPECT_EQ(back->label, heartbeat.label);
+  EXPECT_EQ(back->sent, heartbeat.sent);
+  EXPECT_EQ(back->strays, heartbeat.strays);
+  EXPECT_EQ(back->free, heartbeat.free);
+  EXPECT_EQ(back->writes, heartbeat.writes);
+  EXPECT_EQ(back->uptime, heartbeat.uptime);
+  EXPECT_EQ(back->revision, heartbeat.revision);
+  EXPECT_EQ(back->sender_time, heartbeat.sender_time);
   ASSERT_EQ(back->echoes.size(), 2u);
   EXPECT_EQ(back->echoes[1].label, "node-2");
   EXPECT_EQ(back->echoes[1].incarnation, "0b");
-  EXPECT_EQ(back->echoes[1].mark, SteadyTime(Seconds(8)));
-  EXPECT_EQ(back->cancelled, hello.cancelled);
-  EXPECT_EQ(back->tokens, hello.tokens);
+  EXPECT_EQ(back->echoes[1].sender_time, SteadyTime(Seconds(8)));
+  EXPECT_EQ(back->cancelled, heartbeat.cancelled);
+  EXPECT_EQ(back->tokens, heartbeat.tokens);
 }
 
-TEST(Hello, SizeOfNothingIsAsked) { EXPECT_EQ(HelloSize({}), 8u); }
+TEST(PeerHeartbeat, SizeOfNothingIsAsked) {
+  EXPECT_EQ(PeerHeartbeatSize({}), 8u);
+}
 
 // A platform's answer that cannot be read is no answer: whether the request was
 // carried out is unknown.
--- a/tests/compound_failures_test.cc
+++ b/tests/compound_failures_test.cc
@@ -37,14 +37,14 @@
   }
 }
 
-// Copies of reports from before the change reach all controllers as the new
+// Copies of heartbeats from before the change reach all controllers as the new
 // owner begins, and once more when it has acted.
-TEST(CompoundFailure, OldReportsReachEveryControllerAsANewLeaderBegins) {
+TEST(CompoundFailure, OldHeartbeatsReachEveryControllerAsANewLeaderBegins) {
   for (double delay_s : {0.0, 1.5, 8.0}) {
     Play([](WorldConfig& config) { config.jobs_within = Seconds(90); },
          [delay_s](World& world) {
            world.At(5, [&world, delay_s] {
-             world.KeepReportsForNextOwner(0.3, 90, delay_s);
+             world.KeepHeartbeatsForNextOwner(0.3, 90, delay_s);
            });
            for (int i = 0; i < 4; ++i) {
              world.At(25 + 18 * i, [&world, i] {
