--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -1,5 +1,5 @@
 // The pieces of the core by themselves: what proves a task to be gone, what a
-// worker is told, what the mirror makes of changes, who has to make room.
+// worker is told, what the state cache makes of changes, who has to make room.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,13 +10,13 @@
 #include "core/controller.h"
 #include "core/demand.h"
 #include "core/fleet.h"
-#include "core/follower.h"
 #include "core/hash.h"
-#include "core/machines.h"
-#include "core/mirror.h"
+#include "core/machine.h"
 #include "core/placement.h"
 #include "core/preemption.h"
 #include "core/segments.h"
+#include "core/state_cache.h"
+#include "core/state_watcher.h"
 
 namespace pitchfall {
 namespace {
@@ -56,117 +56,118 @@
 
 // ---- Proofs ----
 
-class Proof : public ::testing::Test {
+class AttemptProof : public ::testing::Test {
  protected:
-  Proof() {
+  AttemptProof() {
     job_.record.spec = Spec("run-1", 4, 1);
     machine_.name = "m-1";
-    WorkerReport report;
-    report.agent_epoch = 2;
-    report.seq = 10;
-    report.fencing_token = kFencingToken;
-    machine_.report = report;
+    WorkerHeartbeat heartbeat;
+    heartbeat.agent_epoch = 2;
+    heartbeat.seq = 10;
+    heartbeat.fencing_token = kFencingToken;
+    machine_.heartbeat = heartbeat;
     task_.job = &job_;
     task_.attempt = 3;
   }
   void Reported(TaskState state, ExitCause cause = ExitCause::kNone,
                 uint32_t attempt = 3) {
-    machine_.report->tasks.push_back({"run-1", 0, attempt, state, cause});
+    machine_.heartbeat->tasks.push_back({"run-1", 0, attempt, state, cause});
   }
-  Verdict Ask(bool wanted = true) {
-    return Judge(machine_, {"run-1", 0}, task_, kFencingToken, wanted);
+  AttemptOutcome Ask(bool wanted = true) {
+    return ClassifyAttempt(machine_, {"run-1", 0}, task_, kFencingToken,
+                           wanted);
   }
   Job job_;
   Machine machine_;
-  HeldTask task_;
+  BoundAttempt task_;
 };
 
-TEST_F(Proof, NothingFollowsFromAReportOlderThanTheToken) {
-  task_.inherited = true;
-  machine_.report->fencing_token = kFencingToken - 1;
-  EXPECT_EQ(Ask(), Verdict::kHeld);
+TEST_F(AttemptProof, NothingFollowsFromAHeartbeatOlderThanTheFencingToken) {
+  task_.bound_by_previous_owner = true;
+  machine_.heartbeat->fencing_token = kFencingToken - 1;
+  EXPECT_EQ(Ask(), AttemptOutcome::kBound);
   Reported(TaskState::kExited, ExitCause::kStopped);
-  EXPECT_EQ(Ask(), Verdict::kHeld);
+  EXPECT_EQ(Ask(), AttemptOutcome::kBound);
 }
 
-TEST_F(Proof, AnInheritedTaskThatANewReportLacksIsGone) {
-  task_.inherited = true;
-  EXPECT_EQ(Ask(), Verdict::kGone);
+TEST_F(AttemptProof, ATaskOfAPreviousOwnerThatANewHeartbeatLacksIsGone) {
+  task_.bound_by_previous_owner = true;
+  EXPECT_EQ(Ask(), AttemptOutcome::kGone);
 }
 
-TEST_F(Proof, AStartOnItsWayIsNotGone) {
+TEST_F(AttemptProof, AStartOnItsWayIsNotGone) {
   task_.start_sent = std::pair<uint64_t, uint64_t>(2, 10);
-  EXPECT_EQ(Ask(true), Verdict::kHeld);
-  EXPECT_EQ(Ask(false), Verdict::kHeld);
+  EXPECT_EQ(Ask(true), AttemptOutcome::kBound);
+  EXPECT_EQ(Ask(false), AttemptOutcome::kBound);
 }
 
-TEST_F(Proof, AStartThatANewerReportLacksWasNotCarriedOut) {
+TEST_F(AttemptProof, AStartThatANewerHeartbeatLacksWasNotCarriedOut) {
   task_.start_sent = std::pair<uint64_t, uint64_t>(2, 9);
-  EXPECT_EQ(Ask(true), Verdict::kHeld);  // sent again
-  EXPECT_EQ(Ask(false), Verdict::kGone);
+  EXPECT_EQ(Ask(true), AttemptOutcome::kBound);  // sent again
+  EXPECT_EQ(Ask(false), AttemptOutcome::kGone);
 }
 
-// In a agent epoch that ended the try may have run: it must not be started
+// In an agent epoch that ended the try may have run: it must not be started
 // again.
-TEST_F(Proof, ANewAgentEpochEndsWhatWasStartedBefore) {
+TEST_F(AttemptProof, ANewAgentEpochEndsWhatWasStartedBefore) {
   task_.start_sent = std::pair<uint64_t, uint64_t>(1, 9);
-  EXPECT_EQ(Ask(true), Verdict::kGone);
+  EXPECT_EQ(Ask(true), AttemptOutcome::kGone);
 }
 
-TEST_F(Proof, AnotherTryOfTheTaskSaysNothing) {
+TEST_F(AttemptProof, AnotherTryOfTheTaskSaysNothing) {
   task_.start_sent = std::pair<uint64_t, uint64_t>(2, 10);
   Reported(TaskState::kExited, ExitCause::kDone, 2);
-  EXPECT_EQ(Ask(), Verdict::kHeld);
+  EXPECT_EQ(Ask(), AttemptOutcome::kBound);
 }
 
-TEST_F(Proof, EndsAreWhatTheyAre) {
+TEST_F(AttemptProof, EndsAreWhatTheyAre) {
   Reported(TaskState::kExited, ExitCause::kDone);
-  EXPECT_EQ(Ask(), Verdict::kDone);
-  machine_.report->tasks[0].cause = ExitCause::kError;
-  EXPECT_EQ(Ask(), Verdict::kFailed);
-  machine_.report->tasks[0].cause = ExitCause::kNoRoom;
-  EXPECT_EQ(Ask(), Verdict::kRefused);
-  machine_.report->tasks[0].cause = ExitCause::kStopped;
-  EXPECT_EQ(Ask(), Verdict::kGone);
-  machine_.report->tasks[0].state = TaskState::kSaving;
-  EXPECT_EQ(Ask(), Verdict::kHeld);
+  EXPECT_EQ(Ask(), AttemptOutcome::kDone);
+  machine_.heartbeat->tasks[0].cause = ExitCause::kError;
+  EXPECT_EQ(Ask(), AttemptOutcome::kFailed);
+  machine_.heartbeat->tasks[0].cause = ExitCause::kNoRoom;
+  EXPECT_EQ(Ask(), AttemptOutcome::kRefused);
+  machine_.heartbeat->tasks[0].cause = ExitCause::kStopped;
+  EXPECT_EQ(Ask(), AttemptOutcome::kGone);
+  machine_.heartbeat->tasks[0].state = TaskState::kSaving;
+  EXPECT_EQ(Ask(), AttemptOutcome::kBound);
 }
 
 // ---- Orders ----
 
-TEST_F(Proof, OrdersFollowWhatIsStored) {
-  machine_.held[{"run-1", 0}] = task_;
+TEST_F(AttemptProof, CommandsFollowWhatIsStored) {
+  machine_.bound[{"run-1", 0}] = task_;
   Reported(TaskState::kRunning, ExitCause::kNone, 2);  // a try of the past
-  machine_.report->tasks.push_back(
+  machine_.heartbeat->tasks.push_back(
       {"run-9", 1, 1, TaskState::kExited, ExitCause::kDone});
-  auto yes = [](const HeldTask&) { return true; };
-  OrderPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)), yes};
-  std::vector<Order> orders = MakeOrders(machine_, policy);
-  ASSERT_EQ(orders.size(), 3u);
-  EXPECT_EQ(orders[0].op, Order::Op::kStop);
-  EXPECT_EQ(orders[0].attempt, 2u);
-  EXPECT_EQ(orders[1].op, Order::Op::kForget);
-  EXPECT_EQ(orders[1].job, "run-9");
-  EXPECT_EQ(orders[2].op, Order::Op::kStart);
-  EXPECT_EQ(orders[2].attempt, 3u);
-  // The end of a held task is not forgotten before it is stored.
-  machine_.report->tasks = {
+  auto yes = [](const BoundAttempt&) { return true; };
+  CommandPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)), yes};
+  std::vector<WorkerCommand> commands = BuildCommands(machine_, policy);
+  ASSERT_EQ(commands.size(), 3u);
+  EXPECT_EQ(commands[0].op, WorkerCommand::Op::kStop);
+  EXPECT_EQ(commands[0].attempt, 2u);
+  EXPECT_EQ(commands[1].op, WorkerCommand::Op::kAcknowledge);
+  EXPECT_EQ(commands[1].job, "run-9");
+  EXPECT_EQ(commands[2].op, WorkerCommand::Op::kStart);
+  EXPECT_EQ(commands[2].attempt, 3u);
+  // The end of a bound task is not forgotten before it is stored.
+  machine_.heartbeat->tasks = {
       {"run-1", 0, 3, TaskState::kExited, ExitCause::kDone}};
-  EXPECT_TRUE(MakeOrders(machine_, policy).empty());
+  EXPECT_TRUE(BuildCommands(machine_, policy).empty());
 }
 
-TEST_F(Proof, WhatIsSavedIsWorthTheSaving) {
+TEST_F(AttemptProof, WhatIsSavedIsWorthTheSaving) {
   job_.record.spec.checkpoint = Seconds(20);
   job_.record.spec.save = Seconds(5);
   Reported(TaskState::kRunning);
   task_.preempted = true;
-  auto yes = [](const HeldTask&) { return true; };
-  OrderPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)), yes};
+  auto yes = [](const BoundAttempt&) { return true; };
+  CommandPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)), yes};
   auto grace = [&](double running_since_s) {
     task_.running_since = SteadyTime(Seconds(running_since_s));
-    machine_.held[{"run-1", 0}] = task_;
-    std::vector<Order> orders = MakeOrders(machine_, policy);
-    return orders.size() == 1 ? orders[0].grace : Duration(-1);
+    machine_.bound[{"run-1", 0}] = task_;
+    std::vector<WorkerCommand> commands = BuildCommands(machine_, policy);
+    return commands.size() == 1 ? commands[0].grace : Duration(-1);
   };
   EXPECT_EQ(grace(88), Seconds(6));   // 12 s since the start
   EXPECT_EQ(grace(97), Duration(0));  // 3 s
@@ -175,64 +176,64 @@
   EXPECT_EQ(grace(88), Duration(0));
 }
 
-TEST_F(Proof, NothingStartsWhenItMayNotOrIsNotWanted) {
-  machine_.held[{"run-1", 0}] = task_;
-  auto yes = [](const HeldTask&) { return true; };
-  OrderPolicy no_starts{kFencingToken, false, {}, yes};
-  EXPECT_TRUE(MakeOrders(machine_, no_starts).empty());
-  OrderPolicy unwanted{
-      kFencingToken, true, {}, [](const HeldTask&) { return false; }};
-  EXPECT_TRUE(MakeOrders(machine_, unwanted).empty());
+TEST_F(AttemptProof, NothingStartsWhenItMayNotOrIsNotWanted) {
+  machine_.bound[{"run-1", 0}] = task_;
+  auto yes = [](const BoundAttempt&) { return true; };
+  CommandPolicy no_starts{kFencingToken, false, {}, yes};
+  EXPECT_TRUE(BuildCommands(machine_, no_starts).empty());
+  CommandPolicy unwanted{
+      kFencingToken, true, {}, [](const BoundAttempt&) { return false; }};
+  EXPECT_TRUE(BuildCommands(machine_, unwanted).empty());
 }
 
 // ---- Mirror ----
 
-TEST(Mirror, OlderNewsDoesNotUndoNewer) {
-  Mirror mirror;
-  mirror.Apply(JobChange(Spec("run-1", 8, 1), 5));
-  mirror.Apply(JobChange(Spec("run-1", 8, 1), 9, JobState::kCancelled));
-  mirror.Apply(JobChange(Spec("run-1", 8, 1), 7, JobState::kDone));
-  EXPECT_EQ(mirror.FindJob("run-1")->record.state, JobState::kCancelled);
+TEST(StateCache, OlderNewsDoesNotUndoNewer) {
+  StateCache state_cache;
+  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 5));
+  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 9, JobState::kCancelled));
+  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 7, JobState::kDone));
+  EXPECT_EQ(state_cache.FindJob("run-1")->record.state, JobState::kCancelled);
 }
 
 // Our own deletion is applied before a reading shows it; the reading on its way
 // still has the key's earlier values.
-TEST(Mirror, ADeletedKeyDoesNotComeBack) {
-  Mirror mirror;
+TEST(StateCache, ADeletedKeyDoesNotComeBack) {
+  StateCache state_cache;
   Change put{keys::Rental("r-1"), RentalRecord{"g8", "a"}, 4};
-  mirror.Apply({keys::Rental("r-1"), std::nullopt, 6});
-  mirror.Apply(put);
-  EXPECT_TRUE(mirror.rentals().empty());
-  mirror.AdvanceTo(6);
+  state_cache.Apply({keys::Rental("r-1"), std::nullopt, 6});
+  state_cache.Apply(put);
+  EXPECT_TRUE(state_cache.rentals().empty());
+  state_cache.AdvanceTo(6);
   put.mod_revision = 8;
-  mirror.Apply(put);
-  EXPECT_EQ(mirror.rentals().size(), 1u);
+  state_cache.Apply(put);
+  EXPECT_EQ(state_cache.rentals().size(), 1u);
 }
 
 // The segments of a list come in the order of their keys: an older version must
 // not bind tasks again that a newer one has freed, nor may what the job's tasks
 // need be forgotten before all have been read (a quota would be miscounted).
-TEST(Mirror, OlderSegmentsOfAJobThatIsOverAreReadAfterNewerOnes) {
-  Mirror mirror;
-  mirror.Apply(JobChange(Spec("run-1", 8, 1), 9, JobState::kCancelled));
-  mirror.Apply(ChunkChange("run-1", 0, 8, {}));
-  mirror.Apply(ChunkChange("run-1", 0, 4, {{0, 1, "m-1", "a"}}));
-  EXPECT_EQ(mirror.FindJob("run-1")->assigned, 0u);
-  mirror.Apply(ChunkChange("run-1", 1, 5, {{9, 1, "m-1", "a"}}));
-  EXPECT_EQ(mirror.FindJob("run-1")->assigned, 1u);
-  EXPECT_GT(mirror.FindJob("run-1")->spec().need.cpus, 0);
-  EXPECT_EQ(mirror.open_jobs().size(), 1u);
-  mirror.Apply(ChunkChange("run-1", 1, 10, {}));
-  mirror.AdvanceTo(10);
-  EXPECT_TRUE(mirror.open_jobs().empty());
-  EXPECT_TRUE(mirror.FindJob("run-1")->chunks.empty());
+TEST(StateCache, OlderSegmentsOfAJobThatIsOverAreReadAfterNewerOnes) {
+  StateCache state_cache;
+  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 9, JobState::kCancelled));
+  state_cache.Apply(ChunkChange("run-1", 0, 8, {}));
+  state_cache.Apply(ChunkChange("run-1", 0, 4, {{0, 1, "m-1", "a"}}));
+  EXPECT_EQ(state_cache.FindJob("run-1")->assigned, 0u);
+  state_cache.Apply(ChunkChange("run-1", 1, 5, {{9, 1, "m-1", "a"}}));
+  EXPECT_EQ(state_cache.FindJob("run-1")->assigned, 1u);
+  EXPECT_GT(state_cache.FindJob("run-1")->spec().need.cpus, 0);
+  EXPECT_EQ(state_cache.open_jobs().size(), 1u);
+  state_cache.Apply(ChunkChange("run-1", 1, 10, {}));
+  state_cache.AdvanceTo(10);
+  EXPECT_TRUE(state_cache.open_jobs().empty());
+  EXPECT_TRUE(state_cache.FindJob("run-1")->chunks.empty());
 }
 
 // The old owner may copy its last version forward after the new one has started
 // tasks of the chunk.
-TEST(Mirror, AChunkThatWasGivenAwayStaysWithItsNewOwner) {
-  Mirror mirror;
-  mirror.Apply(JobChange(Spec("run-1", 8, 1), 1));
+TEST(StateCache, AChunkThatWasGivenAwayStaysWithItsNewOwner) {
+  StateCache state_cache;
+  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 1));
   auto version = [](uint32_t partition, uint32_t epoch, uint64_t mod_revision,
                     bool on) {
     ChunkRecord record;
@@ -241,41 +242,41 @@
     return Change{keys::Segment(partition, 0),
                   SegmentRecord{{{"run-1", 0, record}}}, mod_revision};
   };
-  mirror.Apply(version(0, 0, 2, false));
-  mirror.Apply(version(1, 1, 3, true));
-  mirror.Apply(version(0, 0, 4, false));
-  EXPECT_EQ(mirror.FindJob("run-1")->assigned, 1u);
-  EXPECT_EQ(mirror.FindJob("run-1")->FindChunk(0)->partition, 1u);
+  state_cache.Apply(version(0, 0, 2, false));
+  state_cache.Apply(version(1, 1, 3, true));
+  state_cache.Apply(version(0, 0, 4, false));
+  EXPECT_EQ(state_cache.FindJob("run-1")->assigned, 1u);
+  EXPECT_EQ(state_cache.FindJob("run-1")->FindChunk(0)->partition, 1u);
 }
 
-TEST(Mirror, UnreadableRecordsArePassedOver) {
-  Mirror mirror;
-  mirror.Apply(JobChange(Spec("run-1", 8, 1), 1));
+TEST(StateCache, UnreadableRecordsArePassedOver) {
+  StateCache state_cache;
+  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 1));
   Change change = ChunkChange("run-1", 0, 2, {{0, 1, "m-1", "a"}});
-  mirror.Apply(change);
+  state_cache.Apply(change);
   change.value.reset();
   change.mod_revision = 3;
   change.unreadable = true;
-  mirror.Apply(change);
-  EXPECT_EQ(mirror.FindJob("run-1")->assigned, 1u);
-  EXPECT_EQ(mirror.FindJob("run-1")->FindChunk(0)->mod_revision, 2u);
+  state_cache.Apply(change);
+  EXPECT_EQ(state_cache.FindJob("run-1")->assigned, 1u);
+  EXPECT_EQ(state_cache.FindJob("run-1")->FindChunk(0)->mod_revision, 2u);
 }
 
 // Counted from scratch after every step of a random history.
-TEST(Mirror, CountsMatchAPlainCount) {
+TEST(StateCache, CountsMatchAPlainCount) {
   std::mt19937 random(9);
-  Mirror mirror;
+  StateCache state_cache;
   std::map<std::pair<int, uint32_t>, std::pair<size_t, uint32_t>> plain;
   for (int job = 0; job < 5; ++job) {
-    mirror.Apply(JobChange(Spec("run-" + std::to_string(job), 40, 1),
-                           static_cast<uint64_t>(job) + 1));
+    state_cache.Apply(JobChange(Spec("run-" + std::to_string(job), 40, 1),
+                                static_cast<uint64_t>(job) + 1));
   }
   for (uint64_t mod_revision = 10; mod_revision < 500; ++mod_revision) {
     int job = static_cast<int>(random() % 5);
     uint32_t chunk = random() % 5;
     std::string id = "run-" + std::to_string(job);
     if (random() % 5 == 0) {
-      mirror.Apply(ChunkChange(id, chunk, mod_revision, {}));
+      state_cache.Apply(ChunkChange(id, chunk, mod_revision, {}));
       plain.erase({job, chunk});
     } else {
       std::vector<Assignment> assigned;
@@ -284,7 +285,7 @@
       }
       uint32_t done = random() % 4;
       plain[{job, chunk}] = {assigned.size(), done};
-      mirror.Apply(ChunkChange(id, chunk, mod_revision, assigned, done));
+      state_cache.Apply(ChunkChange(id, chunk, mod_revision, assigned, done));
     }
     size_t on = 0;
     uint32_t done = 0;
@@ -293,8 +294,8 @@
       on += value.first;
       done += value.second;
     }
-    EXPECT_EQ(mirror.FindJob(id)->assigned, on);
-    EXPECT_EQ(mirror.FindJob(id)->done, done);
+    EXPECT_EQ(state_cache.FindJob(id)->assigned, on);
+    EXPECT_EQ(state_cache.FindJob(id)->done, done);
   }
 }
 
@@ -302,21 +303,21 @@
 
 // A list of many pages goes on where a page failed. Begun anew each time it
 // would never end while the state service refuses one request in three.
-TEST(Follower, GoesOnWithTheListWhereItFailed) {
+TEST(StateWatcher, GoesOnWithTheListWhereItFailed) {
   Tuning tuning;
   Outbox out;
-  Mirror mirror;
+  StateCache state_cache;
   TokenBucket requests(100, 100);
-  Follower follower(tuning, out, mirror, requests);
+  StateWatcher state_watcher(tuning, out, state_cache, requests);
   Now now{SteadyTime(Seconds(1000)), WallTime(Seconds(1000))};
   constexpr int kPages = 8;
   auto key = [](int page) { return "pf/jobs/run-" + std::to_string(page); };
   std::vector<std::string> asked;
   int calls = 0;
-  for (int step = 0; step < 200 && !follower.loaded(); ++step) {
+  for (int step = 0; step < 200 && !state_watcher.loaded(); ++step) {
     now.steady += Millis(50);
     out.set_now(now);
-    follower.Step();
+    state_watcher.Step();
     std::vector<Effect> effects = out.TakeEffects();
     while (!effects.empty()) {
       const auto* call = std::get_if<StateCall>(&effects.front());
@@ -338,14 +339,14 @@
       effects = out.TakeEffects();
     }
   }
-  ASSERT_TRUE(follower.loaded());
+  ASSERT_TRUE(state_watcher.loaded());
   ASSERT_EQ(asked.size(), static_cast<size_t>(kPages));
   for (int page = 0; page < kPages; ++page) {
     EXPECT_EQ(asked[page], page == 0 ? "" : key(page - 1));
-    EXPECT_NE(mirror.FindJob("run-" + std::to_string(page)), nullptr);
+    EXPECT_NE(state_cache.FindJob("run-" + std::to_string(page)), nullptr);
   }
   // What came between the pages is read again, from the first page on.
-  EXPECT_EQ(mirror.revision(), 100u);
+  EXPECT_EQ(state_cache.revision(), 100u);
 }
 
 // The stored number of partitions contradicts the setting: said once, with the
@@ -413,8 +414,8 @@
   std::mt19937 random(11);
   constexpr size_t kBytes = 2000;
   std::map<std::string, Change> stored;
-  std::map<Mirror::ChunkKey, ChunkRecord> plain;
-  Mirror writer;
+  std::map<StateCache::ChunkKey, ChunkRecord> plain;
+  StateCache writer;
   std::vector<Change> jobs;
   for (int job = 0; job < 20; ++job) {
     jobs.push_back(JobChange(Spec("run-" + std::to_string(job), 24, 1),
@@ -424,8 +425,8 @@
   for (uint64_t mod_revision = 100; mod_revision < 600; ++mod_revision) {
     std::vector<SegmentRecord::Entry> changed;
     for (uint32_t n = 1 + random() % 4; n > 0; --n) {
-      Mirror::ChunkKey key{"run-" + std::to_string(random() % 20),
-                           random() % 3};
+      StateCache::ChunkKey key{"run-" + std::to_string(random() % 20),
+                               random() % 3};
       ChunkRecord& record = plain[key];
       record.next_attempt += 1;
       record.assigned.clear();
@@ -449,7 +450,7 @@
       writer.Apply(change);
     }
     writer.AdvanceTo(mod_revision);
-    Mirror reader;
+    StateCache reader;
     for (const Change& job : jobs) reader.Apply(job);
     for (const auto& [key, change] : stored) reader.Apply(change);
     for (const auto& [key, record] : plain) {
@@ -468,10 +469,10 @@
 TEST(Segments, TheRingGrowsWithWhatItHolds) {
   constexpr size_t kBytes = 2000;
   constexpr uint32_t kJobs = 800;
-  Mirror mirror;
+  StateCache state_cache;
   uint64_t mod_revision = 0;
   for (uint32_t job = 0; job < kJobs; ++job) {
-    mirror.Apply(
+    state_cache.Apply(
         JobChange(Spec("run-" + std::to_string(job), 8, 1), ++mod_revision));
   }
   size_t copied = 0;
@@ -481,25 +482,26 @@
     for (uint32_t t = 0; t < tasks; ++t) {
       record.assigned.push_back({t, 1, "m-" + std::to_string(job), "a"});
     }
-    auto writes =
-        PlanSegments(mirror, 0, {{"run-" + std::to_string(job), 0, record}},
-                     {kBytes, 8 * kBytes, 8});
+    auto writes = PlanSegments(state_cache, 0,
+                               {{"run-" + std::to_string(job), 0, record}},
+                               {kBytes, 8 * kBytes, 8});
     ASSERT_TRUE(writes) << job;
     ++mod_revision;
     for (SegmentWrite& write : *writes) {
       copied += write.segment.entries.size();
-      mirror.Apply({keys::Segment(0, write.slot), write.segment, mod_revision});
+      state_cache.Apply(
+          {keys::Segment(0, write.slot), write.segment, mod_revision});
     }
     copied -= 1;
-    mirror.AdvanceTo(mod_revision);
+    state_cache.AdvanceTo(mod_revision);
   };
   for (uint32_t job = 0; job < kJobs; ++job) store(job, 8);
-  EXPECT_GT(mirror.LiveBytes(0), kLeastSlots * kBytes);
-  EXPECT_GT(mirror.SlotCount(0), 2 * kLeastSlots);
+  EXPECT_GT(state_cache.LiveBytes(0), kLeastSlots * kBytes);
+  EXPECT_GT(state_cache.SlotCount(0), 2 * kLeastSlots);
   copied = 0;
   for (uint32_t job = 0; job < kJobs; ++job) store(job, 0);
   EXPECT_LT(copied, 12 * kJobs);
-  EXPECT_EQ(mirror.LiveBytes(0), kJobs * 40);
+  EXPECT_EQ(state_cache.LiveBytes(0), kJobs * 40);
 }
 
 // A ring that was filled when values were eight times as large: every change
@@ -509,11 +511,11 @@
   constexpr uint32_t kJobsInSlot = 40;
   constexpr SegmentLimits kSmall{1800, 50000, 4};
   std::map<std::string, Change> stored;
-  Mirror mirror;
+  StateCache state_cache;
   uint64_t mod_revision = 0;
   auto apply = [&](const Change& change) {
     stored[change.key] = change;
-    mirror.Apply(change);
+    state_cache.Apply(change);
   };
   auto bind = [](uint32_t job, uint32_t attempt) {
     ChunkRecord record;
@@ -534,10 +536,10 @@
     }
     apply({keys::Segment(0, slot), segment, ++mod_revision});
   }
-  mirror.AdvanceTo(mod_revision);
+  state_cache.AdvanceTo(mod_revision);
   for (uint32_t round = 0; round < 2000; ++round) {
     auto writes =
-        PlanSegments(mirror, 0, {bind(round % kJobs, 2 + round)}, kSmall);
+        PlanSegments(state_cache, 0, {bind(round % kJobs, 2 + round)}, kSmall);
     ASSERT_TRUE(writes) << round;
     ASSERT_LE(writes->size(), kSmall.writes);
     ++mod_revision;
@@ -548,10 +550,10 @@
       }
       apply({keys::Segment(0, write.slot), write.segment, mod_revision});
     }
-    mirror.AdvanceTo(mod_revision);
+    state_cache.AdvanceTo(mod_revision);
   }
-  EXPECT_LT(mirror.SlotCount(0), kMostSlots / 2);
-  Mirror reader;
+  EXPECT_LT(state_cache.SlotCount(0), kMostSlots / 2);
+  StateCache reader;
   for (const auto& [key, change] : stored) {
     if (key.starts_with(keys::kJobs)) reader.Apply(change);
   }
@@ -566,17 +568,17 @@
 }
 
 TEST(Segments, WhatDoesNotFitIsRefusedWhole) {
-  Mirror mirror;
+  StateCache state_cache;
   ChunkRecord record;
   for (uint32_t t = 0; t < 90; ++t) {
     record.assigned.push_back({t, 1, "m-" + std::to_string(t), "a"});
   }
   std::vector<SegmentRecord::Entry> changed{{"run-1", 0, record},
                                             {"run-2", 0, record}};
-  EXPECT_EQ(PlanSegments(mirror, 0, changed, {4000, 8000, 8})->size(), 2u);
-  EXPECT_FALSE(PlanSegments(mirror, 0, changed, {4000, 8000, 1}));
-  EXPECT_FALSE(PlanSegments(mirror, 0, changed, {500, 8000, 8}));
-  EXPECT_FALSE(PlanSegments(mirror, 0, changed, {4000, 4500, 8}));
+  EXPECT_EQ(PlanSegments(state_cache, 0, changed, {4000, 8000, 8})->size(), 2u);
+  EXPECT_FALSE(PlanSegments(state_cache, 0, changed, {4000, 8000, 1}));
+  EXPECT_FALSE(PlanSegments(state_cache, 0, changed, {500, 8000, 8}));
+  EXPECT_FALSE(PlanSegments(state_cache, 0, changed, {4000, 4500, 8}));
 }
 
 // ---- Order, room, preemption ----
@@ -592,7 +594,7 @@
 }
 
 TEST(OrderJobs, GuaranteeThenPriorityThenDeadlineThenAge) {
-  Mirror mirror;
+  StateCache state_cache;
   auto add = [&](const char* id, Priority priority, double due, int64_t at,
                  const char* team, double cpus) {
     JobSpec spec = Spec(id, 1, cpus);
@@ -601,7 +603,7 @@
     if (due > 0) spec.deadline = Seconds(due);
     Change change = JobChange(spec, 1);
     std::get<JobRecord>(*change.value).submitted = WallTime(Duration(at));
-    mirror.Apply(change);
+    state_cache.Apply(change);
   };
   Deployment d = OneTeam(4, 0);
   d.teams["blue"].name = "blue";
@@ -611,16 +613,16 @@
   add("run-4", Priority::kNormal, 0, 4, "blue", 1);
   add("run-5", Priority::kNormal, 0, 0, "blue", 1);
   std::vector<std::string> order;
-  for (const Job* job : OrderJobs(mirror, WallTime(), d))
+  for (const Job* job : OrderJobs(state_cache, WallTime(), d))
     order.push_back(job->spec().id);
   EXPECT_EQ(order, (std::vector<std::string>{"run-3", "run-2", "run-1", "run-5",
                                              "run-4"}));
 }
 
-std::vector<std::string> OrderAt(const Mirror& mirror, double now_s,
+std::vector<std::string> OrderAt(const StateCache& state_cache, double now_s,
                                  const Deployment& d) {
   std::vector<std::string> order;
-  for (const Job* job : OrderJobs(mirror, WallTime(Seconds(now_s)), d)) {
+  for (const Job* job : OrderJobs(state_cache, WallTime(Seconds(now_s)), d)) {
     order.push_back(job->spec().id);
   }
   return order;
@@ -629,47 +631,47 @@
 // Three jobs of which two can be on time: by due time alone all but the first
 // would be late.
 TEST(OrderJobs, TheOneWithTheMostWorkStepsBackWhenNotAllCanBeOnTime) {
-  Mirror mirror;
+  StateCache state_cache;
   Deployment d = OneTeam(0, 10);
   auto add = [&](const char* id, uint32_t tasks, double due) {
     JobSpec spec = Spec(id, tasks, 1);  // 10 s each, 10 at once
     spec.deadline = Seconds(due);
-    mirror.Apply(JobChange(spec, 1));
+    state_cache.Apply(JobChange(spec, 1));
   };
   add("run-1", 40, 45);  // 40 s
   add("run-2", 20, 50);
   add("run-3", 20, 55);
-  EXPECT_EQ(OrderAt(mirror, 0, d),
+  EXPECT_EQ(OrderAt(state_cache, 0, d),
             (std::vector<std::string>{"run-2", "run-3", "run-1"}));
   // With twice the room all can.
   d = OneTeam(0, 20);
-  EXPECT_EQ(OrderAt(mirror, 0, d),
+  EXPECT_EQ(OrderAt(state_cache, 0, d),
             (std::vector<std::string>{"run-1", "run-2", "run-3"}));
 }
 
 TEST(OrderJobs, NoJobWaitsForEverBehindOthers) {
-  Mirror mirror;
+  StateCache state_cache;
   Deployment d = OneTeam(4, 0);
   JobSpec large = Spec("run-1", 500, 1);
   large.priority = Priority::kLow;
-  mirror.Apply(JobChange(large, 1));
+  state_cache.Apply(JobChange(large, 1));
   JobSpec urgent = Spec("run-2", 1, 1);
   urgent.priority = Priority::kHigh;
   Change later = JobChange(urgent, 2);
   std::get<JobRecord>(*later.value).submitted = WallTime(Seconds(90));
-  mirror.Apply(later);
-  using Order = std::vector<std::string>;
-  EXPECT_EQ(OrderAt(mirror, 100, d), (Order{"run-2", "run-1"}));
-  EXPECT_EQ(OrderAt(mirror, 151, d), (Order{"run-1", "run-2"}));
+  state_cache.Apply(later);
+  using WorkerCommand = std::vector<std::string>;
+  EXPECT_EQ(OrderAt(state_cache, 100, d), (WorkerCommand{"run-2", "run-1"}));
+  EXPECT_EQ(OrderAt(state_cache, 151, d), (WorkerCommand{"run-1", "run-2"}));
   // Once it has begun it takes its turn again.
-  mirror.Apply(ChunkChange("run-1", 0, 3, {{0, 1, "m-1", "a"}}));
-  EXPECT_EQ(OrderAt(mirror, 151, d), (Order{"run-2", "run-1"}));
-  EXPECT_EQ(AgedPriority(*mirror.FindJob("run-1"), WallTime(Seconds(900))),
+  state_cache.Apply(ChunkChange("run-1", 0, 3, {{0, 1, "m-1", "a"}}));
+  EXPECT_EQ(OrderAt(state_cache, 151, d), (WorkerCommand{"run-2", "run-1"}));
+  EXPECT_EQ(AgedPriority(*state_cache.FindJob("run-1"), WallTime(Seconds(900))),
             static_cast<int>(Priority::kHigh));
 }
 
 TEST(Preemption, StopsOnlyLesserTasksThatCanSaveAndOnlyAsManyAsNeeded) {
-  Mirror mirror;
+  StateCache state_cache;
   Deployment d = OneTeam(0, 10);
   JobSpec low = Spec("run-1", 8, 2);
   low.priority = Priority::kLow;
@@ -678,84 +680,87 @@
   plain.priority = Priority::kLow;
   JobSpec high = Spec("run-3", 2, 2);
   high.priority = Priority::kHigh;
-  mirror.Apply(JobChange(low, 1));
-  mirror.Apply(JobChange(plain, 2));
-  mirror.Apply(ChunkChange(
+  state_cache.Apply(JobChange(low, 1));
+  state_cache.Apply(JobChange(plain, 2));
+  state_cache.Apply(ChunkChange(
       "run-1", 0, 3,
       {{0, 1, "m-1", "a"}, {1, 1, "m-1", "a"}, {2, 1, "m-1", "a"}}));
-  mirror.Apply(
+  state_cache.Apply(
       ChunkChange("run-2", 0, 4, {{0, 1, "m-1", "a"}, {1, 1, "m-1", "a"}}));
-  EXPECT_TRUE(
-      ChooseVictims(mirror, d, OrderJobs(mirror, WallTime(), d), WallTime())
-          .empty());
-  mirror.Apply(JobChange(high, 5));
+  EXPECT_TRUE(ChooseVictims(state_cache, d,
+                            OrderJobs(state_cache, WallTime(), d), WallTime())
+                  .empty());
+  state_cache.Apply(JobChange(high, 5));
   // 8 of 10 in use: one of the two high tasks fits, the other needs one stop.
-  auto victims =
-      ChooseVictims(mirror, d, OrderJobs(mirror, WallTime(), d), WallTime());
+  auto victims = ChooseVictims(
+      state_cache, d, OrderJobs(state_cache, WallTime(), d), WallTime());
   ASSERT_EQ(victims.size(), 1u);
   EXPECT_EQ(victims.begin()->first.job, "run-1");
   EXPECT_EQ(victims.begin()->first.task, 2u);
   EXPECT_EQ(victims.begin()->second, StopKind::kSave);
   // A class that may start a minute later can wait for the saving.
   d.objectives.push_back({"wait", "x", Seconds(70), 0.9});
-  victims =
-      ChooseVictims(mirror, d, OrderJobs(mirror, WallTime(), d), WallTime());
+  victims = ChooseVictims(state_cache, d, OrderJobs(state_cache, WallTime(), d),
+                          WallTime());
   EXPECT_EQ(victims.begin()->second, StopKind::kSave);
   // One that is to start within moments cannot.
   d.objectives.push_back({"wait", "x", Seconds(5), 0.9});
-  victims =
-      ChooseVictims(mirror, d, OrderJobs(mirror, WallTime(), d), WallTime());
+  victims = ChooseVictims(state_cache, d, OrderJobs(state_cache, WallTime(), d),
+                          WallTime());
   EXPECT_EQ(victims.begin()->second, StopKind::kAtOnce);
 }
 
 // What goes first because it has waited for long must not be stopped for what
 // it goes before: it would be started again at once, and so on for ever.
 TEST(Preemption, SparesWhatHasGrownOld) {
-  Mirror mirror;
+  StateCache state_cache;
   Deployment d = OneTeam(0, 4);
   JobSpec old = Spec("run-1", 8, 2);
   old.priority = Priority::kLow;
   old.checkpoint = Seconds(20);
-  mirror.Apply(JobChange(old, 1));
-  mirror.Apply(ChunkChange("run-1", 0, 2, {{0, 1, "m-1", "a"}}, 0));
+  state_cache.Apply(JobChange(old, 1));
+  state_cache.Apply(ChunkChange("run-1", 0, 2, {{0, 1, "m-1", "a"}}, 0));
   Change later = JobChange(Spec("run-2", 8, 2), 3);  // of normal priority
   std::get<JobRecord>(*later.value).submitted = WallTime(Seconds(100));
-  mirror.Apply(later);
+  state_cache.Apply(later);
   auto victims = [&](double now_s) {
     WallTime now(Seconds(now_s));
-    return ChooseVictims(mirror, d, OrderJobs(mirror, now, d), now).size();
+    return ChooseVictims(state_cache, d, OrderJobs(state_cache, now, d), now)
+        .size();
   };
   EXPECT_EQ(victims(101), 1u);
   EXPECT_EQ(victims(160), 0u);  // it has only just begun
-  mirror.Apply(ChunkChange("run-1", 0, 4, {{1, 1, "m-1", "a"}}, 1));
+  state_cache.Apply(ChunkChange("run-1", 0, 4, {{1, 1, "m-1", "a"}}, 1));
   EXPECT_EQ(victims(160), 1u);
   EXPECT_EQ(victims(430), 0u);  // by now as important as the other
 }
 
 TEST(Preemption, EqualPriorityMakesNoRoom) {
-  Mirror mirror;
+  StateCache state_cache;
   Deployment d = OneTeam(0, 4);
   JobSpec first = Spec("run-1", 8, 2);
   first.checkpoint = Seconds(20);
-  mirror.Apply(JobChange(first, 1));
-  mirror.Apply(
+  state_cache.Apply(JobChange(first, 1));
+  state_cache.Apply(
       ChunkChange("run-1", 0, 3, {{0, 1, "m-1", "a"}, {1, 1, "m-1", "a"}}));
-  mirror.Apply(JobChange(Spec("run-2", 2, 2), 4));
-  EXPECT_TRUE(
-      ChooseVictims(mirror, d, OrderJobs(mirror, WallTime(), d), WallTime())
-          .empty());
+  state_cache.Apply(JobChange(Spec("run-2", 2, 2), 4));
+  EXPECT_TRUE(ChooseVictims(state_cache, d,
+                            OrderJobs(state_cache, WallTime(), d), WallTime())
+                  .empty());
 }
 
 TEST(Demand, StaysWithinATeamsLimit) {
-  Mirror mirror;
+  StateCache state_cache;
   Deployment d = OneTeam(0, 10);
-  mirror.Apply(JobChange(Spec("run-1", 20, 3), 1));
-  Demand demand = MeasureDemand(mirror, d, {}, WallTime(), 3, std::nullopt);
+  state_cache.Apply(JobChange(Spec("run-1", 20, 3), 1));
+  Demand demand =
+      MeasureDemand(state_cache, d, {}, WallTime(), 3, std::nullopt);
   EXPECT_EQ(demand.waiting, 3u);
   EXPECT_EQ(demand.requested.cpus, Resources::FromDecimal(9));
   // A job that fails everywhere asks for nothing.
   EXPECT_EQ(
-      MeasureDemand(mirror, d, {"run-1"}, WallTime(), 3, std::nullopt).waiting,
+      MeasureDemand(state_cache, d, {"run-1"}, WallTime(), 3, std::nullopt)
+          .waiting,
       0u);
 }
 
@@ -801,16 +806,16 @@
   EXPECT_FALSE(Allowed(spec, machine, ZoneUse{{{"a", 3}}, 3}));
 }
 
-// Starts travel in answers to reports: with little time, the machine that
+// Starts travel in answers to heartbeats: with little time, the machine that
 // reports next counts, and not only the one that has the image.
 TEST(Places, HurriedTasksGoWhereTheyStartSoonest) {
   Machine image_later;
   image_later.capacity = Resources::FromDecimals(8, 0, 32);
   image_later.images = {"img"};
-  image_later.until_report = Millis(5000);
+  image_later.until_heartbeat = Millis(5000);
   Machine now_without = image_later;
   now_without.images.clear();
-  now_without.until_report = Duration(0);
+  now_without.until_heartbeat = Duration(0);
   std::vector<Machine*> machines{&image_later, &now_without};
   JobSpec spec = Spec("run-1", 1, 1);
   EXPECT_EQ(ChooseMachine(spec, 1, {}, machines, {}, false), &image_later);
@@ -844,8 +849,8 @@
   for (int i = 0; i < 8; ++i) scattered.AddMachine(cpus(3), false);
   FreeRoom whole;
   whole.AddMachine(cpus(8), true);
-  book.Hear(0, scattered, now);
-  book.Hear(1, whole, now);
+  book.Update(0, scattered, now);
+  book.Update(1, whole, now);
   JobSpec small = Spec("run-1", 4, 1);
   JobSpec large = Spec("run-2", 4, 4);
   EXPECT_EQ(book.Roomiest(small, 2, {}, now), std::pair(0u, int64_t{24}));
--- a/tests/fakes/worker.cc
+++ b/tests/fakes/worker.cc
@@ -88,7 +88,7 @@
   }
 }
 
-std::string Worker::MakeReport(SteadyTime) {
+std::string Worker::MakeHeartbeat(SteadyTime) {
   ++seq_;
   Packer out;
   out.Map(10).Pair("tine", config_.name).Pair("addr", config_.address);
@@ -129,7 +129,7 @@
 
 HttpReply Worker::Handle(std::string_view method, const std::string& path,
                          const std::string& body, SteadyTime now) {
-  if (method == "GET" && path == "/inspect") return {200, MakeReport(now)};
+  if (method == "GET" && path == "/inspect") return {200, MakeHeartbeat(now)};
   if (method != "POST" || path != "/commands")
     return Error(404, "no such path");
   try {
@@ -138,27 +138,27 @@
     uint64_t fencing_token = in.Count("baton");
     bool current = in.Count("shift") == agent_epoch_;
     if (fencing_token < fencing_token_ || !current)
-      return {409, MakeReport(now)};
+      return {409, MakeHeartbeat(now)};
     if (fencing_token > fencing_token_) changed_ = true;
     fencing_token_ = fencing_token;
   } catch (const Malformed& problem) {
     return Error(400, problem.what());
   }
   Execute(body, now);
-  return {200, MakeReport(now)};
+  return {200, MakeHeartbeat(now)};
 }
 
-void Worker::Execute(const std::string& body_orders, SteadyTime now) {
-  Message message(body_orders, kItems, kDepth);
-  const auto& orders = Fields(message.root()).List("orders");
-  for (uint32_t i = 0; i < orders.size; ++i) {
-    Fields order(orders.ptr[i]);
-    Key key{order.Text("leg"), order.Count("try")};
-    std::string verb = order.Text("verb");
+void Worker::Execute(const std::string& body_commands, SteadyTime now) {
+  Message message(body_commands, kItems, kDepth);
+  const auto& commands = Fields(message.root()).List("orders");
+  for (uint32_t i = 0; i < commands.size; ++i) {
+    Fields command(commands.ptr[i]);
+    Key key{command.Text("leg"), command.Count("try")};
+    std::string verb = command.Text("verb");
     if (verb == "launch") {
       Start(key, now);
     } else if (verb == "kill") {
-      Stop(key, Seconds(order.AmountOr("wind_down_s", 1e9, 0)), now);
+      Stop(key, Seconds(command.AmountOr("wind_down_s", 1e9, 0)), now);
     } else if (verb == "forget") {
       auto it = tasks_.find(key);
       if (it != tasks_.end() && it->second.state == "exited") tasks_.erase(it);
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -53,10 +53,10 @@
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // Lets time pass. True if something has changed that wants a report.
+  // Lets time pass. True if something has changed that wants a heartbeat.
   bool Advance(SteadyTime now);
-  std::string MakeReport(SteadyTime now);
-  // The answer to the report made at `sent`; false if it had to be dropped.
+  std::string MakeHeartbeat(SteadyTime now);
+  // The answer to the heartbeat made at `sent`; false if it had to be dropped.
   bool TakeAnswer(const std::string& body, SteadyTime sent,
                   uint64_t agent_epoch, SteadyTime now);
   HttpReply Handle(std::string_view method, const std::string& path,
@@ -81,7 +81,7 @@
   };
   using Key = std::pair<std::string, uint64_t>;  // task, attempt
 
-  void Execute(const std::string& body_orders, SteadyTime now);
+  void Execute(const std::string& body_commands, SteadyTime now);
   void Start(const Key& key, SteadyTime now);
   void Stop(const Key& key, Duration grace, SteadyTime now);
   void Exit(Task& task, const Key& key, const std::string& cause);
--- a/tests/meetings_test.cc
+++ b/tests/meetings_test.cc
@@ -54,7 +54,7 @@
       },
       [](World& world) {
         EXPECT_GT(world.cancelled(), 0);
-        // Nobody vouches: what it ran is lost to the lease.
+        // Nobody answeres for it: what it ran is lost to the lease.
         EXPECT_GT(world.lost_with_lease(), 0);
       });
 }
@@ -120,7 +120,7 @@
 // One that is back in the middle may have told users in its former incarnation
 // what nobody here knows: then the bound counts from the last read, and work is
 // lost.
-TEST(Gap, ARestartedControllerDoesNotVouch) {
+TEST(Gap, EchoesOfARestartedControllerDoNotCount) {
   Play([](WorldConfig& config) { config.nodes = 5; },
        [](World& world) {
          world.At(31.5, [&world] { world.StopState(Seconds(45)); });
@@ -155,7 +155,7 @@
   }
 }
 
-TEST(Meeting, AReportIsHeldBackUntilANewLeaderHasActed) {
+TEST(Meeting, AHeartbeatIsHeldBackUntilANewLeaderHasActed) {
   Play([](WorldConfig& config) { config.lease_s = 8; },
        [](World& world) {
          world.At(28, [&world] {
@@ -240,8 +240,8 @@
 TEST(Meeting, OldHeartbeatsArriveAfterNewerOnesAndFromEarlierAgentEpochs) {
   Play(
       [](WorldConfig& config) {
-        config.late_report = 0.5;
-        config.late_report_s = 25;
+        config.late_heartbeat = 0.5;
+        config.late_heartbeat_s = 25;
       },
       [](World& world) {
         // Sessions end, and what they ran starts elsewhere.
--- a/tests/operations_test.cc
+++ b/tests/operations_test.cc
@@ -59,7 +59,7 @@
 TEST(Operations, WorkersThatLoseTheirOwnerFindAnotherInTime) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     WorldConfig config = CalmConfig(seed);
-    config.report_s = 1.5;
+    config.heartbeat_s = 1.5;
     config.lease_s = 10;
     config.cancel_s = 30;
     config.jobs = 60;
--- a/tests/playground/platform.cc
+++ b/tests/playground/platform.cc
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr Duration kStep = Millis(50);
-constexpr Duration kReport = Millis(500);
-constexpr Duration kReportWait = Millis(4000);
+constexpr Duration kHeartbeatInterval = Millis(500);
+constexpr Duration kHeartbeatTimeout = Millis(4000);
 constexpr Duration kBoot = Millis(300);
 
 }  // namespace
@@ -28,7 +28,7 @@
   std::vector<std::unique_ptr<io::HttpClient>> nodes;
   size_t node = 0;
   bool waiting = false;
-  SteadyTime next_report{};
+  SteadyTime next_heartbeat{};
 };
 
 uint16_t FreePort() {
@@ -156,25 +156,25 @@
     }
   }
   for (auto& [name, box] : machines_) {
-    if (box->worker->Advance(now)) box->next_report = now;
-    if (!box->waiting && now >= box->next_report) Report(*box);
+    if (box->worker->Advance(now)) box->next_heartbeat = now;
+    if (!box->waiting && now >= box->next_heartbeat) Heartbeat(*box);
   }
 }
 
-void Platform::Report(Box& box) {
+void Platform::Heartbeat(Box& box) {
   SteadyTime sent = Now();
   uint64_t agent_epoch = box.worker->agent_epoch();
   box.waiting = true;
   wire::HttpRequest request;
   request.post = true;
   request.path = "/checkin";
-  request.body = box.worker->MakeReport(sent);
+  request.body = box.worker->MakeHeartbeat(sent);
   box.nodes[box.node]->Send(
-      std::move(request), kReportWait,
+      std::move(request), kHeartbeatTimeout,
       [this, &box, sent, agent_epoch](int status, std::string_view body) {
         SteadyTime now = Now();
         box.waiting = false;
-        box.next_report = now + kReport;
+        box.next_heartbeat = now + kHeartbeatInterval;
         if (status == 200) {
           box.worker->TakeAnswer(std::string(body), sent, agent_epoch, now);
           return;
--- a/tests/playground/platform.h
+++ b/tests/playground/platform.h
@@ -50,7 +50,7 @@
                          const std::string& body);
   void Boot(const fakes::Cloud::Machine& machine);
   void Step();
-  void Report(Box& box);
+  void Heartbeat(Box& box);
   SteadyTime Now() const;
 
   struct Route {
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -65,7 +65,7 @@
   ASSERT_EQ(d.peers.size(), 1u);
   EXPECT_EQ(d.peers[0].address, "127.0.0.2:8081");
   EXPECT_EQ(d.teams.at("red").cpus_limit, 300000);
-  EXPECT_EQ(d.report, Millis(1500));
+  EXPECT_EQ(d.heartbeat_interval, Millis(1500));
   EXPECT_EQ(d.state.txn_ops, 8u);
   ASSERT_EQ(d.objectives.size(), 1u);
   EXPECT_EQ(d.objectives[0].within, Seconds(70));
--- a/tests/sim/current_controller.cc
+++ b/tests/sim/current_controller.cc
@@ -33,9 +33,10 @@
       decoded.call = reply->call;
       batch.push_back(std::move(decoded));
     } else {
-      auto hello = wire::DecodeHello(std::get<EncodedPeerMessage>(input).bytes);
-      if (!hello) throw std::runtime_error("a message that cannot be read");
-      batch.push_back(std::move(*hello));
+      auto heartbeat =
+          wire::DecodePeerHeartbeat(std::get<EncodedPeerMessage>(input).bytes);
+      if (!heartbeat) throw std::runtime_error("a message that cannot be read");
+      batch.push_back(std::move(*heartbeat));
     }
     std::vector<ControllerOutput> outputs;
     for (Effect& effect : controller_.Handle(now, batch)) {
@@ -52,8 +53,8 @@
       state_requests_.emplace(call->call, call->request);
       return encoded;
     }
-    if (const auto* send = std::get_if<SendHello>(&effect)) {
-      return EncodedPeerMessage{wire::EncodeHello(send->hello)};
+    if (const auto* send = std::get_if<SendPeerHeartbeat>(&effect)) {
+      return EncodedPeerMessage{wire::EncodePeerHeartbeat(send->heartbeat)};
     }
     return effect;
   }
--- a/tests/sim/play.h
+++ b/tests/sim/play.h
@@ -18,7 +18,7 @@
   config.seed = seed;
   config.cancel_share = 0;
   config.trouble_every = Duration(0);
-  config.lost_reply = config.late_copy = config.late_report = 0;
+  config.lost_reply = config.late_copy = config.late_heartbeat = 0;
   config.team_limit = 80;
   return config;
 }
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -53,18 +53,18 @@
   return to;
 }
 
-old::WorkerReport ToOld(const WorkerReport& report) {
+old::WorkerReport ToOld(const WorkerHeartbeat& heartbeat) {
   old::WorkerReport to;
-  to.machine = report.machine;
-  to.address = report.address;
-  to.type = report.type;
-  to.zone = report.zone;
-  to.spot = report.spot;
-  to.session = report.agent_epoch;
-  to.seq = report.seq;
-  to.token = report.fencing_token;
-  to.notice = report.notice;
-  for (const ReportedTask& task : report.tasks) {
+  to.machine = heartbeat.machine;
+  to.address = heartbeat.address;
+  to.type = heartbeat.type;
+  to.zone = heartbeat.zone;
+  to.spot = heartbeat.spot;
+  to.session = heartbeat.agent_epoch;
+  to.seq = heartbeat.seq;
+  to.token = heartbeat.fencing_token;
+  to.notice = heartbeat.notice;
+  for (const ReportedTask& task : heartbeat.tasks) {
     to.tasks.push_back({task.job, task.task, task.attempt,
                         CastEnum<old::TaskState>(task.state),
                         CastEnum<old::ExitCause>(task.cause)});
@@ -97,12 +97,12 @@
 old::Command ToOld(const HealthCheck& command) {
   return old::HealthCheck{command.request};
 }
-old::Command ToOld(const CheckIn& command) {
-  return old::CheckIn{command.request, ToOld(command.report)};
+old::Command ToOld(const ReceiveWorkerHeartbeat& command) {
+  return old::CheckIn{command.request, ToOld(command.heartbeat)};
 }
 old::Command ToOld(const WorkerReply& reply) {
   old::WorkerReply to{reply.call, reply.status, std::nullopt};
-  if (reply.report) to.report = ToOld(*reply.report);
+  if (reply.heartbeat) to.report = ToOld(*reply.heartbeat);
   return to;
 }
 old::Command ToOld(const CloudReply& reply) {
@@ -124,15 +124,17 @@
 old::Command ToOld(const Tick&) { return old::Tick{}; }
 // These two come encoded.
 old::Command ToOld(const StateReply&) { throw std::logic_error("not encoded"); }
-old::Command ToOld(const PeerHello&) { throw std::logic_error("not encoded"); }
+old::Command ToOld(const PeerHeartbeat&) {
+  throw std::logic_error("not encoded");
+}
 
-Order FromOld(const old::Order& order) {
-  return {CastEnum<Order::Op>(order.op), order.job, order.task, order.attempt,
-          order.grace};
+WorkerCommand FromOld(const old::Order& order) {
+  return {CastEnum<WorkerCommand::Op>(order.op), order.job, order.task,
+          order.attempt, order.grace};
 }
 
-std::vector<Order> FromOld(const std::vector<old::Order>& orders) {
-  std::vector<Order> to;
+std::vector<WorkerCommand> FromOld(const std::vector<old::Order>& orders) {
+  std::vector<WorkerCommand> to;
   to.reserve(orders.size());
   for (const old::Order& order : orders) to.push_back(FromOld(order));
   return to;
@@ -144,7 +146,7 @@
                    answer.counts, answer.done, answer.running};
 }
 ReplyBody FromOld(const old::Orders& orders) {
-  return Orders{orders.token, FromOld(orders.orders)};
+  return WorkerCommands{orders.token, FromOld(orders.orders)};
 }
 ReplyBody FromOld(const old::Redirect& redirect) {
   return Redirect{redirect.owner};
@@ -230,7 +232,7 @@
       to.teams[name] = {team.name, team.cpus_guaranteed, team.cpus_limit,
                         team.gpus_guaranteed, team.gpus_limit};
     }
-    to.report = ToOld(from.report);
+    to.report = ToOld(from.heartbeat_interval);
     to.worker_lease = ToOld(from.worker_lease);
     to.cancel = ToOld(from.cancel);
     to.state_rps = from.state.rps;
--- a/tests/sim/simulated_controller.h
+++ b/tests/sim/simulated_controller.h
@@ -34,10 +34,11 @@
   std::string bytes;
 };
 
-// Commands other than StateReply and PeerHello come in their present types.
+// Commands other than StateReply and PeerHeartbeat come in their present types.
 using ControllerInput =
     std::variant<Command, EncodedStateReply, EncodedPeerMessage>;
-// Effects other than StateCall and SendHello go out in their present types.
+// Effects other than StateCall and SendPeerHeartbeat go out in their present
+// types.
 using ControllerOutput =
     std::variant<Effect, EncodedStateCall, EncodedPeerMessage>;
 
--- a/tests/sim/world.cc
+++ b/tests/sim/world.cc
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Duration kTick = Millis(25);
-constexpr Duration kReportWait = Millis(4000);
+constexpr Duration kHeartbeatTimeout = Millis(4000);
 // The protocol's bound is 90 s; the operators' is 75 s once troubles are over.
 constexpr Duration kForgottenAfter = Millis(75000);
 constexpr Duration kDeletionKnown = Millis(8000);
@@ -38,7 +38,7 @@
   }
   d.cloud_rps = 8;
   d.list_lag = Seconds(2);
-  d.report = Seconds(config.report_s);
+  d.heartbeat_interval = Seconds(config.heartbeat_s);
   d.worker_lease = Seconds(config.lease_s);
   d.cancel = Seconds(config.cancel_s);
   d.zones = {"a", "b"};
@@ -99,10 +99,10 @@
   std::string zone;
   bool spot = false;
   size_t node = 0;
-  uint64_t report_number = 0;
+  uint64_t heartbeat_number = 0;
   bool waiting = false;
-  SteadyTime next_report{};
-  SteadyTime last_report{};
+  SteadyTime next_heartbeat{};
+  SteadyTime last_heartbeat{};
 };
 
 struct World::JobModel {
@@ -515,8 +515,8 @@
     hold = zone_hold_;
   }
   if (now_ < cut_until && !hold) return;
-  Duration held = std::max(cut_until - now_, Duration(0));
-  After(held + Hop(), [this, index, make, answer, worker, machine] {
+  Duration delay = std::max(cut_until - now_, Duration(0));
+  After(delay + Hop(), [this, index, make, answer, worker, machine] {
     Node& n = *nodes_[index];
     if (!n.controller) return;
     RequestId id = ++n.last_request;
@@ -578,42 +578,44 @@
   if (it == machines_.end()) return;
   Box& box = *it->second;
   if (box.worker->Advance(now_)) {
-    box.next_report = std::min(box.next_report, box.last_report + Millis(500));
+    box.next_heartbeat =
+        std::min(box.next_heartbeat, box.last_heartbeat + Millis(500));
   }
   auto mute = mute_until_.find(name);
   bool reaches = mute == mute_until_.end() || now_ >= mute->second;
-  if (!box.waiting && !box.worker->hanging && now_ >= box.next_report &&
+  if (!box.waiting && !box.worker->hanging && now_ >= box.next_heartbeat &&
       reaches) {
-    Report(name);
+    Heartbeat(name);
   }
   After(Seconds(config_.machine_step_s), [this, name] { StepMachine(name); });
 }
 
-void World::Report(const std::string& name) {
+void World::Heartbeat(const std::string& name) {
   Box& box = *machines_[name];
   box.waiting = true;
-  box.last_report = now_;
-  uint64_t number = ++box.report_number;
+  box.last_heartbeat = now_;
+  uint64_t number = ++box.heartbeat_number;
   uint64_t agent_epoch = box.worker->agent_epoch();
-  std::string body = box.worker->MakeReport(now_);
+  std::string body = box.worker->MakeHeartbeat(now_);
   size_t target = box.node;
   SteadyTime sent = now_;
   auto make = [body](RequestId id) -> Command {
-    return CheckIn{id, *wire::DecodeReport(body).value};
+    return ReceiveWorkerHeartbeat{id, *wire::DecodeWorkerHeartbeat(body).value};
   };
-  if (Chance() < config_.late_report) {
+  if (Chance() < config_.late_heartbeat) {
     // A copy that the network held back; its answer goes nowhere.
-    After(Between(1, config_.late_report_s), [this, target, make, name] {
-      Ask(target, make, kReportWait, name, [](const std::optional<Reply>&) {});
+    After(Between(1, config_.late_heartbeat_s), [this, target, make, name] {
+      Ask(target, make, kHeartbeatTimeout, name,
+          [](const std::optional<Reply>&) {});
     });
   }
-  if (Disturbed(kept_reports_)) KeepReport(name, make);
-  Ask(target, make, kReportWait, name,
+  if (Disturbed(kept_heartbeats_)) KeepHeartbeat(name, make);
+  Ask(target, make, kHeartbeatTimeout, name,
       [this, name, number, agent_epoch,
        sent](const std::optional<Reply>& given) {
         std::optional<Reply> reply = given;
         auto it = machines_.find(name);
-        if (it == machines_.end() || it->second->report_number != number) {
+        if (it == machines_.end() || it->second->heartbeat_number != number) {
           return;
         }
         Box& b = *it->second;
@@ -621,14 +623,14 @@
         bool hears = deaf == deaf_until_.end() || now_ >= deaf->second;
         if (deaf_.contains(name) || !hears) reply.reset();
         b.waiting = false;
-        b.next_report =
-            now_ + Between(0.75 * config_.report_s, 1.25 * config_.report_s);
+        b.next_heartbeat = now_ + Between(0.75 * config_.heartbeat_s,
+                                          1.25 * config_.heartbeat_s);
         if (reply && reply->status == 200) {
           std::string answer = wire::EncodeReplyBody(reply->body);
           b.worker->TakeAnswer(answer, sent, agent_epoch, now_);
           return;
         }
-        b.next_report = now_ + Seconds(1);
+        b.next_heartbeat = now_ + Seconds(1);
         size_t next = (b.node + 1) % config_.nodes;
         if (reply && reply->status == 421) {
           const auto* redirect = std::get_if<Redirect>(&reply->body);
@@ -636,7 +638,7 @@
             if (redirect != nullptr && redirect->owner == Label(i) &&
                 i != b.node) {
               next = i;
-              b.next_report = now_ + Between(0, 0.5);
+              b.next_heartbeat = now_ + Between(0, 0.5);
             }
           }
         }
@@ -1005,11 +1007,11 @@
   late_commands_ = {share, now_ + Seconds(seconds)};
 }
 
-void World::KeepReportsForNextOwner(double share, double seconds,
-                                    double delay_s) {
+void World::KeepHeartbeatsForNextOwner(double share, double seconds,
+                                       double delay_s) {
   Note("copies of reports are kept for the next owner");
-  kept_reports_ = {share, now_ + Seconds(seconds)};
-  kept_reports_delay_ = Seconds(delay_s);
+  kept_heartbeats_ = {share, now_ + Seconds(seconds)};
+  kept_heartbeats_delay_ = Seconds(delay_s);
 }
 
 void World::WatchAnswersClosely(double seconds) {
@@ -1026,26 +1028,28 @@
   return entry == state_.entries().end() ? 0 : entry->second.mod_revision;
 }
 
-void World::KeepReport(const std::string& machine, const MakeCommand& report) {
+void World::KeepHeartbeat(const std::string& machine,
+                          const MakeCommand& heartbeat) {
   uint32_t partition_count = config_.partition_count > 0
                                  ? config_.partition_count
                                  : static_cast<uint32_t>(config_.nodes);
   uint32_t partition = PartitionOf(machine, partition_count);
-  AwaitNextOwner(machine, report, partition, OwnerModRevision(partition));
+  AwaitNextOwner(machine, heartbeat, partition, OwnerModRevision(partition));
 }
 
 void World::AwaitNextOwner(const std::string& machine,
-                           const MakeCommand& report, uint32_t partition,
+                           const MakeCommand& heartbeat, uint32_t partition,
                            uint64_t mod_revision) {
   if (OwnerModRevision(partition) == mod_revision) {
-    After(Millis(50), [this, machine, report, partition, mod_revision] {
-      AwaitNextOwner(machine, report, partition, mod_revision);
+    After(Millis(50), [this, machine, heartbeat, partition, mod_revision] {
+      AwaitNextOwner(machine, heartbeat, partition, mod_revision);
     });
     return;
   }
-  After(kept_reports_delay_, [this, machine, report] {
+  After(kept_heartbeats_delay_, [this, machine, heartbeat] {
     for (size_t i = 0; i < config_.nodes; ++i) {
-      Ask(i, report, kReportWait, machine, [](const std::optional<Reply>&) {});
+      Ask(i, heartbeat, kHeartbeatTimeout, machine,
+          [](const std::optional<Reply>&) {});
     }
   });
 }
@@ -1356,7 +1360,7 @@
       DelayCommands(0.6, ToSeconds(Between(5, 18)));
       break;
     case 9:
-      KeepReportsForNextOwner(0.2, 18, ToSeconds(Between(0, 3)));
+      KeepHeartbeatsForNextOwner(0.2, 18, ToSeconds(Between(0, 3)));
       break;
     case 10:
       WatchAnswersClosely(15);
@@ -1543,7 +1547,7 @@
 }
 
 // Nothing is newly bound to a machine that has been deleted, whatever late
-// copies of its reports say.
+// copies of its heartbeats say.
 void World::CheckAssignments(const Transaction& txn) {
   for (const Write& write : txn.writes) {
     if (!write.value) continue;
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -39,17 +39,18 @@
   // Probabilities for each message.
   double lost_reply = 0.01;
   double late_copy = 0.01;  // carried out seconds later, and nobody told
-  double late_report = 0.02;
+  double late_heartbeat = 0.02;
   // Mean time between troubles; zero: none.
   Duration trouble_every = Seconds(8);
   double team_limit = 12;
   bool constrained_jobs = true;  // zones, spreading, machine kinds
   size_t capacity = 10;          // machines of each zone and kind
-  double late_report_s = 20;     // how late copies of reports come at the most
-  double report_s = 1;
+  double late_heartbeat_s =
+      20;  // how late copies of heartbeats come at the most
+  double heartbeat_s = 1;
   double lease_s = 6;
   double cancel_s = 20;
-  // Reports of these many machines arrive from 30 s on, and nothing reaches
+  // Heartbeats of these many machines arrive from 30 s on, and nothing reaches
   // them.
   int deaf_machines = 0;
   // Besides: controllers that stand still while their clocks run on, zones and
@@ -131,9 +132,9 @@
   // Direct commands are held up for 2 to 16 s, unanswered, and carried out
   // then.
   void DelayCommands(double share, double seconds);
-  // Copies of reports are kept until the machine's partition has a new owner,
-  // and reach every controller so long after that.
-  void KeepReportsForNextOwner(double share, double seconds, double delay_s);
+  // Copies of heartbeats are kept until the machine's partition has a new
+  // owner, and reach every controller so long after that.
+  void KeepHeartbeatsForNextOwner(double share, double seconds, double delay_s);
   // Right after a job was accepted, ended or cancelled, users ask about it and
   // repeat its submission at all controllers within milliseconds; some cancel.
   void WatchAnswersClosely(double seconds);
@@ -217,7 +218,7 @@
   // Tasks that started after their user had been told that the job is
   // cancelled, a start that was on its way by then included.
   int starts_after_cancellation() const { return starts_after_cancellation_; }
-  // Tasks lost with a agent epoch that ended because nobody answered in time.
+  // Tasks lost with an agent epoch that ended because nobody answered in time.
   int lost_with_lease() const { return lost_with_lease_; }
   int cancelled() const;
   int starts_of(const std::string& job) const;
@@ -272,7 +273,7 @@
   // Machines.
   void AddMachine(const fakes::Cloud::Machine& machine);
   void StepMachine(const std::string& name);
-  void Report(const std::string& name);
+  void Heartbeat(const std::string& name);
   void OnTask(const std::string& machine, const std::string& task,
               fakes::Worker::TaskEvent event);
 
@@ -315,8 +316,8 @@
   void SendOddRequest();
   void AskAboutNobodysJob();
   bool Disturbed(const FaultWindow& window);
-  void KeepReport(const std::string& machine, const MakeCommand& report);
-  void AwaitNextOwner(const std::string& machine, const MakeCommand& report,
+  void KeepHeartbeat(const std::string& machine, const MakeCommand& heartbeat);
+  void AwaitNextOwner(const std::string& machine, const MakeCommand& heartbeat,
                       uint32_t partition, uint64_t mod_revision);
   uint64_t OwnerModRevision(uint32_t partition) const;
   void AskEverybody(const std::string& id);
@@ -357,8 +358,8 @@
   SteadyTime late_writes_until_{};
   FaultWindow lost_write_answers_;
   FaultWindow late_commands_;
-  FaultWindow kept_reports_;
-  Duration kept_reports_delay_{0};
+  FaultWindow kept_heartbeats_;
+  Duration kept_heartbeats_delay_{0};
   SteadyTime watch_closely_until_{};
   double cancel_at_end_ = 0;
   int starts_after_cancellation_ = 0;
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -29,7 +29,7 @@
 TEST(QuietSchedule, FinishesEverything) {
   WorldConfig config;
   config.trouble_every = Duration(0);
-  config.lost_reply = config.late_copy = config.late_report = 0;
+  config.lost_reply = config.late_copy = config.late_heartbeat = 0;
   World world(config);
   world.Run();
   EXPECT_TRUE(world.violations().empty());
@@ -81,12 +81,12 @@
   config.wide_jobs = 16;
   config.team_limit = 100000;
   config.capacity = 500;
-  config.report_s = 5;
+  config.heartbeat_s = 5;
   config.lease_s = 26.5;
   config.cancel_s = 46.5;
   config.machine_step_s = 0.5;
   config.trouble_every = Duration(0);
-  config.lost_reply = config.late_copy = config.late_report = 0;
+  config.lost_reply = config.late_copy = config.late_heartbeat = 0;
   config.txn_ops = 4;
   config.value_kb = 5;
   config.sick_share = 0;
@@ -151,8 +151,8 @@
   }
 }
 
-// Its reports arrive, answers and commands do not: the machine is recognised by
-// what its reports fail to show, and its tasks run elsewhere.
+// Its heartbeats arrive, answers and commands do not: the machine is recognised
+// by what its heartbeats fail to show, and its tasks run elsewhere.
 TEST(DeafMachine, IsDeletedAndItsWorkMoves) {
   for (size_t nodes : {1, 3}) {
     for (uint64_t seed = 1; seed <= 5; ++seed) {
@@ -160,7 +160,7 @@
       config.seed = seed;
       config.nodes = nodes;
       // A single controller hears it often enough not to call it silent.
-      config.report_s = 2;
+      config.heartbeat_s = 2;
       config.trouble_every = Duration(0);
       config.team_limit = 60;
       config.longest_run_s = 40;
@@ -175,14 +175,14 @@
   }
 }
 
-// Copies of reports up to many leases late, also of machines that are gone.
-TEST(LateReports, DoNotReviveMachines) {
+// Copies of heartbeats up to many leases late, also of machines that are gone.
+TEST(LateHeartbeats, DoNotReviveMachines) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     WorldConfig config;
     config.seed = seed;
     config.nodes = 1 + seed % 3;
-    config.late_report = 0.3;
-    config.late_report_s = 60;
+    config.late_heartbeat = 0.3;
+    config.late_heartbeat_s = 60;
     config.jobs_within = Seconds(120);
     config.team_limit = 40;
     World world(config);
--- a/tests/standing_jobs_test.cc
+++ b/tests/standing_jobs_test.cc
@@ -126,7 +126,7 @@
 
 // An estimate of 0 must not make a service look as if it were done at once.
 TEST(StandingJobs, AskForAllTheirRoomAndGoFirst) {
-  Mirror mirror;
+  StateCache state_cache;
   JobRecord service;
   service.spec = Service(4, 2);
   service.chunk_size = 1;
@@ -136,31 +136,33 @@
   batch.spec.shape = Shape::kArray;
   batch.spec.estimate = batch.spec.deadline.emplace(Seconds(30));
   batch.chunk_size = 8;
-  mirror.Apply({keys::Job("run-0"), batch, 1});
-  mirror.Apply({keys::Job("run-1"), service, 2});
+  state_cache.Apply({keys::Job("run-0"), batch, 1});
+  state_cache.Apply({keys::Job("run-1"), service, 2});
   Deployment d = TeamOf(100);
   WallTime now{Seconds(5)};
-  auto order = OrderJobs(mirror, now, d);
+  auto order = OrderJobs(state_cache, now, d);
   ASSERT_EQ(order.size(), 2u);
   EXPECT_EQ(order[0]->spec().id, "run-1");
-  EXPECT_EQ(Pressure(*mirror.FindJob("run-1"), now, d), 1);
-  Demand demand = MeasureDemand(mirror, d, {"run-0"}, now, 1, std::nullopt);
+  EXPECT_EQ(Pressure(*state_cache.FindJob("run-1"), now, d), 1);
+  Demand demand =
+      MeasureDemand(state_cache, d, {"run-0"}, now, 1, std::nullopt);
   EXPECT_EQ(demand.requested.cpus, Resources::FromDecimal(8));
 }
 
 // What an earlier version noted as done is not done.
 TEST(StandingJobs, ReplicasAreNeverDone) {
-  Mirror mirror;
+  StateCache state_cache;
   JobRecord record;
   record.spec = Service(3, 1);
   record.chunk_size = 3;
-  mirror.Apply({keys::Job("run-1"), record, 1});
+  state_cache.Apply({keys::Job("run-1"), record, 1});
   ChunkRecord chunk;
   AddTask(chunk.done, 0);
   AddTask(chunk.done, 1);
   AddTask(chunk.done, 2);
-  mirror.Apply({keys::Segment(0, 0), SegmentRecord{{{"run-1", 0, chunk}}}, 2});
-  const Job& job = *mirror.FindJob("run-1");
+  state_cache.Apply(
+      {keys::Segment(0, 0), SegmentRecord{{{"run-1", 0, chunk}}}, 2});
+  const Job& job = *state_cache.FindJob("run-1");
   EXPECT_EQ(job.done, 0u);
   EXPECT_EQ(job.waiting(), 3u);
   EXPECT_EQ(Describe(job, true).status, JobAnswer::Status::kQueued);
@@ -181,10 +183,10 @@
   machine.capacity = Resources::FromDecimals(8, 0, 32);
   SteadyTime now{Seconds(100)};
   auto hold = [&](const Job& job, uint32_t task, double ran_s) {
-    HeldTask held;
-    held.job = &job;
-    held.running_since = now - Seconds(ran_s);
-    machine.held[{job.spec().id, task}] = held;
+    BoundAttempt bound;
+    bound.job = &job;
+    bound.running_since = now - Seconds(ran_s);
+    machine.bound[{job.spec().id, task}] = bound;
     machine.used += job.spec().need;
   };
   hold(low, 0, 40);
@@ -203,7 +205,7 @@
   EXPECT_FALSE(
       FindDisplacement(Service(1, 6), machine, ExpectedRoom(machine), now));
   // One that is stopping already makes the room.
-  machine.held.at({"run-5", 1}).preempted = true;
+  machine.bound.at({"run-5", 1}).preempted = true;
   found = FindDisplacement(Service(1, 2), machine, ExpectedRoom(machine), now);
   ASSERT_TRUE(found);
   EXPECT_TRUE(found->tasks.empty());
