--- a/src/cli/deployment_file.cc
+++ b/src/cli/deployment_file.cc
@@ -112,24 +112,25 @@
   std::string path_;
 };
 
-constexpr double kMost = 1e9;
+constexpr double kMaxNumber = 1e9;
 
 int64_t Units(double amount) { return Resources::FromDecimal(amount); }
 
 // The smallest value that holds a job's record with the usual names.
-constexpr double kLeastValueKb = 2;
-constexpr double kMostOps = 1e6;
+constexpr double kMinValueKb = 2;
+constexpr double kMaxOps = 1e6;
 
 // Limits that are not announced stay as they are.
 Deployment::StateServiceLimits ReadNextLimits(
     const Table& next, const Deployment::StateServiceLimits& present) {
   Deployment::StateServiceLimits limits;
-  limits.rps = next.NumberOr("rps", 1, kMost, present.rps);
-  limits.write_rps = next.NumberOr("write_rps", 1, kMost, present.write_rps);
+  limits.rps = next.NumberOr("rps", 1, kMaxNumber, present.rps);
+  limits.write_rps =
+      next.NumberOr("write_rps", 1, kMaxNumber, present.write_rps);
   limits.value_kb =
-      next.NumberOr("value_kb", kLeastValueKb, kMost, present.value_kb);
+      next.NumberOr("value_kb", kMinValueKb, kMaxNumber, present.value_kb);
   limits.txn_ops = static_cast<uint32_t>(
-      next.NumberOr("txn_ops", 2, kMostOps, present.txn_ops));
+      next.NumberOr("txn_ops", 2, kMaxOps, present.txn_ops));
   return limits;
 }
 
@@ -151,14 +152,15 @@
 
   Table cluster = root.Child("cluster");
   d.zones = cluster.Texts("zones");
-  d.time_bound = Seconds(cluster.NumberOr("time_bound_ms", 0, kMost, 0) / 1e3);
+  d.time_bound =
+      Seconds(cluster.NumberOr("time_bound_ms", 0, kMaxNumber, 0) / 1e3);
   for (const Table& row : cluster.Children("teams")) {
     Team team;
     team.name = row.Text("name");
-    team.cpus_guaranteed = Units(row.NumberOr("cpus", 0, kMost, 0));
-    team.cpus_limit = Units(row.NumberOr("cpus_max", 0, kMost, 0));
-    team.gpus_guaranteed = Units(row.NumberOr("gpus", 0, kMost, 0));
-    team.gpus_limit = Units(row.NumberOr("gpus_max", 0, kMost, 0));
+    team.cpus_guaranteed = Units(row.NumberOr("cpus", 0, kMaxNumber, 0));
+    team.cpus_limit = Units(row.NumberOr("cpus_max", 0, kMaxNumber, 0));
+    team.gpus_guaranteed = Units(row.NumberOr("gpus", 0, kMaxNumber, 0));
+    team.gpus_limit = Units(row.NumberOr("gpus_max", 0, kMaxNumber, 0));
     if (!d.teams.emplace(team.name, team).second) {
       row.Fail("name", "stands twice");
     }
@@ -167,28 +169,28 @@
     Objective objective;
     objective.kind = row.Text("kind");
     objective.job_class = row.TextOr("class", "");
-    objective.within = Seconds(row.NumberOr("within_s", 0, kMost, 0));
+    objective.within = Seconds(row.NumberOr("within_s", 0, kMaxNumber, 0));
     objective.share = row.NumberOr("share", 0, 1, 0);
     d.objectives.push_back(std::move(objective));
   }
   Table workers = cluster.Child("workers");
-  d.heartbeat_interval = Seconds(workers.Number("report_s", 0.01, kMost));
-  d.worker_lease = Seconds(workers.Number("lease_s", 0.1, kMost));
-  d.cancel = Seconds(workers.Number("cancel_s", 0.1, kMost));
+  d.heartbeat_interval = Seconds(workers.Number("report_s", 0.01, kMaxNumber));
+  d.worker_lease = Seconds(workers.Number("lease_s", 0.1, kMaxNumber));
+  d.cancel = Seconds(workers.Number("cancel_s", 0.1, kMaxNumber));
   if (d.cancel <= d.worker_lease) {
     workers.Fail("cancel_s", "must be more than lease_s");
   }
   Table state = cluster.Child("state");
-  d.state.rps = state.Number("rps", 1, kMost);
-  d.state.write_rps = state.Number("write_rps", 1, kMost);
-  d.state.value_kb = state.Number("value_kb", kLeastValueKb, kMost);
-  d.state.txn_ops = static_cast<uint32_t>(state.Number("txn_ops", 2, kMostOps));
+  d.state.rps = state.Number("rps", 1, kMaxNumber);
+  d.state.write_rps = state.Number("write_rps", 1, kMaxNumber);
+  d.state.value_kb = state.Number("value_kb", kMinValueKb, kMaxNumber);
+  d.state.txn_ops = static_cast<uint32_t>(state.Number("txn_ops", 2, kMaxOps));
   if (state.Has("next")) {
     d.state_next = ReadNextLimits(state.Child("next"), d.state);
   }
   Table cloud = cluster.Child("cloud");
-  d.cloud_rps = cloud.Number("rps", 0.1, kMost);
-  d.list_lag = Seconds(cloud.NumberOr("list_lag_s", 0, kMost, 0));
+  d.cloud_rps = cloud.Number("rps", 0.1, kMaxNumber);
+  d.list_lag = Seconds(cloud.NumberOr("list_lag_s", 0, kMaxNumber, 0));
   Table resources = cluster.Child("resources");
   double peers = static_cast<double>(d.peers.size());
   d.sockets = static_cast<uint32_t>(
--- a/src/cli/tuning_file.cc
+++ b/src/cli/tuning_file.cc
@@ -35,7 +35,7 @@
     {"max-machines", 0, 100000, &Tuning::max_machines},
     {"parts", 0, 64, &Tuning::partition_count},
     {"chunk-tasks", 1, 128, &Tuning::chunk_tasks},
-    {"claim-delay", 0, 60, &Tuning::claim_delay},
+    {"claim-delay", 0, 60, &Tuning::transfer_delay},
     {"handover-after", 1, 3600, &Tuning::handover_after},
     {"period", 1, 600, &Tuning::period},
     {"horizon", 1, 20, &Tuning::horizon},
--- a/src/core/fleet.cc
+++ b/src/core/autoscaler.cc
@@ -1,4 +1,4 @@
-#include "core/fleet.h"
+#include "core/autoscaler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,19 +10,20 @@
 namespace pitchfall {
 namespace {
 
-constexpr Duration kTypesGap = Millis(30000);
-constexpr Duration kListGap = Millis(5000);
-constexpr Duration kResizeGap = Millis(1000);
+constexpr Duration kTypesInterval = Millis(30000);
+constexpr Duration kListInterval = Millis(5000);
+constexpr Duration kAdjustInterval = Millis(1000);
 constexpr Duration kRefusedFor = Millis(12000);
 // Deleting earlier than this saves nothing.
 constexpr Duration kMinimumCharge = Millis(60000);
-constexpr uint32_t kMostPerRental = 50;
+constexpr uint32_t kMaxPerInstanceRequest = 50;
 constexpr size_t kHistory = 40;
 // Replicas on machines that are to go, at any moment.
-constexpr uint32_t kMostDrainingReplicas = 4;
-// Of records, as JSON: a rental without machines, the name of one (as long as
-// any cloud is likely to give), a sizing without history, a point of that.
-constexpr size_t kRentalBytes = 300;
+constexpr uint32_t kMaxDrainingReplicas = 4;
+// Of records, as JSON: a instance request without machines, the name of one (as
+// long as any cloud is likely to give), a sizing without history, a point of
+// that.
+constexpr size_t kInstanceRequestBytes = 300;
 constexpr size_t kMachineNameBytes = 32;
 constexpr size_t kSizingBytes = 200;
 constexpr size_t kPointBytes = 100;
@@ -44,12 +45,12 @@
   names.erase(end, names.end());
 }
 
-Fleet::Fleet(Context& context, uint64_t fencing_token)
+Autoscaler::Autoscaler(Context& context, uint64_t fencing_token)
     : context_(context), fencing_token_(fencing_token) {
   context_.out.Log(LogLevel::kInfo, "event=leading token={}", fencing_token);
 }
 
-void Fleet::Store(Transaction txn, Outbox::StateHandler handler) {
+void Autoscaler::Store(Transaction txn, Outbox::StateHandler handler) {
   SteadyTime now = context_.now();
   context_.writes.Take(now, static_cast<double>(txn.writes.size()), -1e9);
   context_.requests.Take(now, 1, -1e9);
@@ -69,7 +70,7 @@
       });
 }
 
-void Fleet::Step() {
+void Autoscaler::Step() {
   SteadyTime now = context_.now();
   if (!context_.state_watcher.Fresh()) return;
   if (!fetching_types_ && now >= next_types_) FetchTypes();
@@ -77,14 +78,14 @@
     listing_ = true;
     FetchList("", std::make_shared<std::set<std::string>>(), now);
   }
-  FollowRentals();
-  if (now >= next_resize_ && listed_once_ && context_.state_cache.types()) {
-    next_resize_ = now + kResizeGap;
-    Resize();
+  ReconcileInstanceRequests();
+  if (now >= next_adjust_ && listed_once_ && context_.state_cache.types()) {
+    next_adjust_ = now + kAdjustInterval;
+    AdjustSize();
   }
 }
 
-void Fleet::FetchTypes() {
+void Autoscaler::FetchTypes() {
   if (!context_.cloud.Take(context_.now(), 1)) return;
   fetching_types_ = true;
   context_.out.CallCloud(
@@ -93,12 +94,12 @@
         if (alive.expired()) return;
         fetching_types_ = false;
         bool ok = reply.status == 200 && !reply.types.empty();
-        next_types_ = context_.now() + (ok ? kTypesGap : Millis(1000));
+        next_types_ = context_.now() + (ok ? kTypesInterval : Millis(1000));
         if (ok) StoreTypes({reply.types});
       });
 }
 
-void Fleet::StoreTypes(TypesRecord types) {
+void Autoscaler::StoreTypes(TypesRecord types) {
   const auto& stored = context_.state_cache.types();
   if (stored && stored->value.types == types.types) return;
   if (storing_) {
@@ -113,9 +114,9 @@
   });
 }
 
-void Fleet::FetchList(std::string after,
-                      const std::shared_ptr<std::set<std::string>>& seen,
-                      SteadyTime started) {
+void Autoscaler::FetchList(std::string after,
+                           const std::shared_ptr<std::set<std::string>>& seen,
+                           SteadyTime started) {
   context_.out.CallCloud(
       ListMachines{std::move(after)}, context_.tuning.cloud_timeout,
       [this, seen, started,
@@ -130,14 +131,14 @@
         for (const ListedMachine& listed : reply.listed) {
           seen->insert(listed.name);
           bool is_new = !machines_.contains(listed.name);
-          Known& known = machines_[listed.name];
+          Instance& known = machines_[listed.name];
           known.offer = {listed.type, listed.zone, listed.spot};
           // A list may be older than the one before.
           if (is_new || known.status == MachineStatus::kBooting ||
               listed.status == MachineStatus::kFailed) {
             known.status = listed.status;
           }
-          if (is_new) known.rented = started - listed.age;
+          if (is_new) known.created = started - listed.age;
           known.listed = now;
         }
         if (reply.more && !reply.listed.empty()) {
@@ -146,30 +147,30 @@
         }
         listing_ = false;
         listed_once_ = true;
-        next_list_ = now + kListGap;
+        next_list_ = now + kListInterval;
         OnList(*seen, started);
       });
 }
 
-void Fleet::OnList(const std::set<std::string>& seen, SteadyTime) {
+void Autoscaler::OnList(const std::set<std::string>& seen, SteadyTime) {
   SteadyTime now = context_.now();
   Duration lag = 2 * context_.deployment.list_lag + Millis(5000);
   for (auto it = machines_.begin(); it != machines_.end();) {
-    const Known& known = it->second;
+    const Instance& known = it->second;
     // Not yet listed, or an old list: only a long absence counts.
-    bool missing = !seen.contains(it->first) && now - known.rented > lag &&
+    bool missing = !seen.contains(it->first) && now - known.created > lag &&
                    now - known.listed > lag;
     it = missing ? machines_.erase(it) : std::next(it);
   }
 }
 
-double Fleet::Price(const Offer& offer) const {
+double Autoscaler::Price(const Offer& offer) const {
   const MachineType* type = context_.state_cache.FindType(offer.type);
   if (type == nullptr) return 1e9;
   return offer.spot ? type->spot_price : type->price;
 }
 
-std::vector<Fleet::Offer> Fleet::OffersByPrice() const {
+std::vector<Autoscaler::Offer> Autoscaler::OffersByPrice() const {
   std::vector<Offer> offers;
   for (const MachineType& type : context_.state_cache.types()->value.types) {
     for (const std::string& zone : type.zones) {
@@ -183,21 +184,21 @@
   return offers;
 }
 
-double Fleet::MachinesFor(const Resources& room) const {
+double Autoscaler::MachinesFor(const Resources& requested_machines) const {
   const MachineType& type = context_.state_cache.types()->value.types.front();
-  auto machines = [](int64_t need, int64_t size) {
+  auto machines = [](int64_t needed, int64_t size) {
     return size <= 0 ? 0.0
-                     : static_cast<double>(need) / static_cast<double>(size);
+                     : static_cast<double>(needed) / static_cast<double>(size);
   };
-  return std::max({machines(room.cpus, type.capacity.cpus),
-                   machines(room.gpus, type.capacity.gpus),
-                   machines(room.memory, type.capacity.memory)});
+  return std::max({machines(requested_machines.cpus, type.capacity.cpus),
+                   machines(requested_machines.gpus, type.capacity.gpus),
+                   machines(requested_machines.memory, type.capacity.memory)});
 }
 
 // One point a period: the sum of what the partitions report. A partition whose
 // report is late counts with its last one; otherwise the sum would seem to
 // drop.
-void Fleet::FollowPeriod() {
+void Autoscaler::RecordPeriod() {
   const auto& stored = context_.state_cache.sizing();
   if (history_.empty() && stored && last_period_ == 0) {
     history_ = stored->value.history;
@@ -250,8 +251,10 @@
   Store(std::move(txn), [](const StateReply&) {});
 }
 
-// The targets of the next periods. `room` receives w for now, in machines.
-std::vector<double> Fleet::Targets(const Demand& demand, double* room) const {
+// The targets of the next periods. `requested_machines` receives w for now, in
+// machines.
+std::vector<double> Autoscaler::Targets(const Demand& demand,
+                                        double* requested_machines) const {
   std::vector<double> series;
   std::vector<sizing::DelayPoint> points;
   for (const auto& point : history_) {
@@ -259,7 +262,7 @@
     if (point.delay >= 0) points.push_back({point.utilisation, point.delay});
   }
   const MachineType& type = context_.state_cache.types()->value.types.front();
-  *room = MachinesFor(demand.requested);
+  *requested_machines = MachinesFor(demand.requested);
   sizing::TargetInputs in;
   in.waiting = demand.waiting;
   in.delay_price = context_.tuning.delay_price;
@@ -268,14 +271,14 @@
   in.curve = sizing::FitDelay(points, {1.0, 1.0});
   std::vector<double> targets;
   for (double forecast : sizing::Forecast(series, context_.tuning.horizon)) {
-    in.room = std::max(forecast, *room);
+    in.capacity = std::max(forecast, *requested_machines);
     targets.push_back(
         std::min<double>(sizing::Target(in), context_.tuning.max_machines));
   }
   return targets;
 }
 
-int Fleet::CountMachines(const Use& use) {
+int Autoscaler::CountMachines(const Use& use) {
   SteadyTime now = context_.now();
   int count = 0;
   std::vector<std::string> broken;
@@ -290,7 +293,7 @@
     const MachineType* type = context_.state_cache.FindType(known.offer.type);
     Duration boot = type == nullptr ? Millis(60000) : type->boot;
     bool overdue = known.status == MachineStatus::kBooting && !known.worked &&
-                   now - known.rented > 3 * boot + Millis(10000);
+                   now - known.created > 3 * boot + Millis(10000);
     if (known.status == MachineStatus::kFailed || overdue) {
       broken.push_back(name);
       continue;
@@ -301,7 +304,7 @@
   return count;
 }
 
-void Fleet::DeleteBroken(std::vector<std::string> names) {
+void Autoscaler::DeleteBroken(std::vector<std::string> names) {
   if (!context_.cloud.Take(context_.now(), 1)) return;
   if (names.size() > 100) names.resize(100);
   for (const std::string& name : names) {
@@ -319,26 +322,27 @@
                          });
 }
 
-int Fleet::Pending(bool ordinary_only) const {
+int Autoscaler::Pending(bool ordinary_only) const {
   int pending = 0;
-  for (const auto& [name, rental] : context_.state_cache.rentals()) {
-    if (!rental.value.machines.empty()) continue;
-    if (ordinary_only && rental.value.spot) continue;
-    pending += static_cast<int>(rental.value.count);
+  for (const auto& [name, instance_request] :
+       context_.state_cache.instance_requests()) {
+    if (!instance_request.value.machines.empty()) continue;
+    if (ordinary_only && instance_request.value.spot) continue;
+    pending += static_cast<int>(instance_request.value.count);
   }
   return pending;
 }
 
-void Fleet::Resize() {
+void Autoscaler::AdjustSize() {
   SteadyTime now = context_.now();
-  FollowPeriod();
+  RecordPeriod();
   Use use;
   for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     for (const auto& [number, chunk] : job->chunks) {
       for (const Assignment& assignment : chunk.record.assigned) {
         MachineUse& machine = use[assignment.machine];
-        machine.resources += job->spec().need;
-        machine.by_priority[job->spec().priority] += job->spec().need;
+        machine.resources += job->spec().resources;
+        machine.by_priority[job->spec().priority] += job->spec().resources;
         if (job->spec().shape == Shape::kService) ++machine.replicas;
       }
     }
@@ -349,15 +353,16 @@
       context_.out.now().wall, context_.partition_count, std::nullopt);
   count_ = CountMachines(use);
   int count = count_ + Pending(false);
-  double room = 0;
-  std::vector<double> targets = Targets(demand, &room);
+  double requested_machines = 0;
+  std::vector<double> targets = Targets(demand, &requested_machines);
   double move =
       sizing::FirstMove(count, targets, 1.0, context_.tuning.tracking_r);
   target_ = static_cast<int>(targets.front());
   context_.out.Log(LogLevel::kDebug,
                    "event=size target={} count={} room={:.2f} waiting={} "
                    "move={:.2f} busy={}",
-                   target_, count, room, demand.waiting, move, use.size());
+                   target_, count, requested_machines, demand.waiting, move,
+                   use.size());
   if (storing_) return;
   // Jobs that must not run on spot machines need enough of the others, and
   // every job at least one machine that it may run on.
@@ -368,45 +373,48 @@
     if (!known.offer.spot) ++ordinary;
     if (known.status != MachineStatus::kFailed) kinds.insert(known.offer);
   }
-  for (const auto& [name, rental] : context_.state_cache.rentals()) {
-    kinds.insert({rental.value.type, rental.value.zone, rental.value.spot});
+  for (const auto& [name, instance_request] :
+       context_.state_cache.instance_requests()) {
+    kinds.insert({instance_request.value.type, instance_request.value.zone,
+                  instance_request.value.spot});
   }
   double needed = MachinesFor(demand.ordinary_only);
   if (needed > ordinary) {
-    RentMore(static_cast<int>(std::ceil(needed - ordinary)), demand, true);
+    ScaleOut(static_cast<int>(std::ceil(needed - ordinary)), demand, true);
     return;
   }
   if (move > 1e-6) {
-    above_since_.reset();
+    surplus_since_.reset();
     int more = static_cast<int>(std::ceil(move - 1e-6));
-    if (KeepDraining(more) == 0) RentMore(more, demand, false);
+    if (Uncordon(more) == 0) ScaleOut(more, demand, false);
     return;
   }
   for (const Job* job : demand.waiting_jobs) {
     bool replica = job->spec().shape == Shape::kService;
-    if (!Served(*job, kinds) || (replica && !HasRoomForReplica(*job, use))) {
-      RentFor(*job);
+    if (!Served(*job, kinds) ||
+        (replica && !HasCapacityForReplica(*job, use))) {
+      ScaleOutFor(*job);
       return;
     }
   }
   int surplus = static_cast<int>(std::lround(-move));
   if (surplus <= 0) {
-    above_since_.reset();
+    surplus_since_.reset();
     return;
   }
-  if (!above_since_) above_since_ = now;
-  if (now - *above_since_ < context_.tuning.idle_before_return) return;
-  GiveBack(surplus, ordinary - static_cast<int>(std::ceil(needed)), use);
+  if (!surplus_since_) surplus_since_ = now;
+  if (now - *surplus_since_ < context_.tuning.idle_before_return) return;
+  ScaleIn(surplus, ordinary - static_cast<int>(std::ceil(needed)), use);
 }
 
-bool Fleet::Serves(const JobSpec& spec, const Offer& offer) const {
+bool Autoscaler::Serves(const JobSpec& spec, const Offer& offer) const {
   const MachineType* type = context_.state_cache.FindType(offer.type);
-  return type != nullptr && spec.need.FitsIn(type->capacity) &&
+  return type != nullptr && spec.resources.FitsIn(type->capacity) &&
          spec.AllowsType(offer.type) && (spec.spot || !offer.spot) &&
          (spec.zone.empty() || spec.zone == offer.zone);
 }
 
-std::set<std::string> Fleet::OpenZones(const Job& job) const {
+std::set<std::string> Autoscaler::OpenZones(const Job& job) const {
   const JobSpec& spec = job.spec();
   std::map<std::string, uint32_t> here;
   for (const auto& [number, chunk] : job.chunks) {
@@ -426,24 +434,25 @@
 
 // Whether there is a machine of any kind, in a zone where another task of the
 // job may start, that may run it.
-bool Fleet::Served(const Job& job, const std::set<Offer>& kinds) const {
+bool Autoscaler::Served(const Job& job, const std::set<Offer>& kinds) const {
   const std::set<std::string> zones = OpenZones(job);
   return std::ranges::any_of(kinds, [&](const Offer& offer) {
     return zones.contains(offer.zone) && Serves(job.spec(), offer);
   });
 }
 
-// Whether a machine, or one that is on its way, has or can make room for one
-// more replica of the job. The sum of what is requested does not tell: it may
-// be free in pieces, or in a zone where no more of them may run.
-bool Fleet::HasRoomForReplica(const Job& job, const Use& use) const {
+// Whether a machine, or one that is on its way, has or can make capacity for
+// one more replica of the job. The sum of what is requested does not tell: it
+// may be free in pieces, or in a zone where no more of them may run.
+bool Autoscaler::HasCapacityForReplica(const Job& job, const Use& use) const {
   const JobSpec& spec = job.spec();
   const std::set<std::string> zones = OpenZones(job);
   auto serves = [&](const Offer& offer) {
     return zones.contains(offer.zone) && Serves(spec, offer);
   };
-  for (const auto& [name, rental] : context_.state_cache.rentals()) {
-    const RentalRecord& record = rental.value;
+  for (const auto& [name, instance_request] :
+       context_.state_cache.instance_requests()) {
+    const InstanceRequestRecord& record = instance_request.value;
     bool coming = record.machines.empty();
     if (coming && serves({record.type, record.zone, record.spot})) return true;
   }
@@ -453,32 +462,36 @@
         context_.state_cache.Draining(name)) {
       return false;
     }
-    Resources room = context_.state_cache.FindType(known.offer.type)->capacity;
+    Resources requested_machines =
+        context_.state_cache.FindType(known.offer.type)->capacity;
     auto used = use.find(name);
-    if (used == use.end()) return spec.need.FitsIn(room);
+    if (used == use.end()) return spec.resources.FitsIn(requested_machines);
     // Less important tasks can be displaced.
     for (const auto& [priority, resources] : used->second.by_priority) {
-      if (priority >= spec.priority) room -= resources;
+      if (priority >= spec.priority) requested_machines -= resources;
     }
-    return spec.need.FitsIn(room);
+    return spec.resources.FitsIn(requested_machines);
   });
 }
 
-bool Fleet::Refused(const Offer& offer) const {
+bool Autoscaler::Refused(const Offer& offer) const {
   auto refused = refused_until_.find(offer);
   return refused != refused_until_.end() && context_.now() < refused->second;
 }
 
-// The names of the machines have to fit into the rental's record.
-uint32_t Fleet::MostPerRental() const {
+// The names of the machines have to fit into the instance request's record.
+uint32_t Autoscaler::MaxPerInstanceRequest() const {
   size_t bytes = context_.state_limits.UsableValueBytes();
-  size_t names = (bytes - std::min(bytes, kRentalBytes)) / kMachineNameBytes;
-  return std::clamp(static_cast<uint32_t>(names), 1U, kMostPerRental);
+  size_t names =
+      (bytes - std::min(bytes, kInstanceRequestBytes)) / kMachineNameBytes;
+  return std::clamp(static_cast<uint32_t>(names), 1U, kMaxPerInstanceRequest);
 }
 
-// As many rentals as it takes, stored together: one for each turn would let a
-// large fleet wait for its last machines for longer than they take to boot.
-void Fleet::Ask(InstanceOrder order, std::string_view reason) {
+// As many instance requests as it takes, stored together: one for each turn
+// would let a large fleet wait for its last machines for longer than they take
+// to boot.
+void Autoscaler::StoreInstanceRequests(InstanceOrder order,
+                                       std::string_view reason) {
   reason_ = reason;
   Transaction txn;
   size_t most = std::max<size_t>(1, context_.state_limits.Operations() / 2);
@@ -487,23 +500,23 @@
     auto next = std::ranges::max_element(
         order, {}, [](const auto& entry) { return entry.second; });
     const Offer offer = next->first;
-    RentalRecord record;
+    InstanceRequestRecord record;
     record.type = offer.type;
     record.zone = offer.zone;
     record.spot = offer.spot;
     record.count =
-        std::min(MostPerRental(), static_cast<uint32_t>(next->second));
+        std::min(MaxPerInstanceRequest(), static_cast<uint32_t>(next->second));
     record.asked = context_.out.now().wall;
     next->second -= static_cast<int>(record.count);
     if (next->second <= 0) order.erase(next);
-    std::string name = fmt::format("r-{}-{}", fencing_token_, ++rentals_made_);
+    std::string name = fmt::format("r-{}-{}", fencing_token_, ++requests_made_);
     context_.out.Log(LogLevel::kInfo,
-                     "event=rent name={} type={} zone={} spot={} count={} "
+                     "event=scale_out name={} type={} zone={} spot={} count={} "
                      "target={} have={} reason={}",
                      name, offer.type, offer.zone, offer.spot, record.count,
                      target_, count_, reason);
-    txn.conditions.push_back({keys::Rental(name), 0});
-    txn.writes.push_back({keys::Rental(name), std::move(record), 0});
+    txn.conditions.push_back({keys::InstanceRequest(name), 0});
+    txn.writes.push_back({keys::InstanceRequest(name), std::move(record), 0});
   }
   Store(std::move(txn), [](const StateReply&) {});
 }
@@ -511,7 +524,7 @@
 // The cheapest offers that have not been refused lately. Of several at the same
 // price, which are zones, each gets its share: jobs may have to be spread over
 // zones, and a zone may lose its machines.
-void Fleet::RentMore(int count, const Demand& demand, bool ordinary_only) {
+void Autoscaler::ScaleOut(int count, const Demand& demand, bool ordinary_only) {
   bool spot_useful = demand.ordinary_only.cpus < demand.requested.cpus;
   std::map<Offer, int> have;
   for (const Offer& offer : OffersByPrice()) {
@@ -531,16 +544,18 @@
     ++fewest->second;
     ++order[fewest->first];
   }
-  Ask(std::move(order), ordinary_only ? "ordinary" : "target");
+  StoreInstanceRequests(std::move(order),
+                        ordinary_only ? "ordinary" : "target");
 }
 
-std::map<Fleet::Offer, int> Fleet::CountByOffer() const {
+std::map<Autoscaler::Offer, int> Autoscaler::CountByOffer() const {
   std::map<Offer, int> counts;
   for (const auto& [name, known] : machines_) {
     if (!context_.state_cache.Draining(name)) ++counts[known.offer];
   }
-  for (const auto& [name, rental] : context_.state_cache.rentals()) {
-    const RentalRecord& record = rental.value;
+  for (const auto& [name, instance_request] :
+       context_.state_cache.instance_requests()) {
+    const InstanceRequestRecord& record = instance_request.value;
     if (!record.machines.empty()) continue;
     counts[{record.type, record.zone, record.spot}] +=
         static_cast<int>(record.count);
@@ -548,19 +563,19 @@
   return counts;
 }
 
-void Fleet::RentFor(const Job& job) {
+void Autoscaler::ScaleOutFor(const Job& job) {
   const std::set<std::string> zones = OpenZones(job);
   for (const Offer& offer : OffersByPrice()) {
     if (!zones.contains(offer.zone) || !Serves(job.spec(), offer) ||
         Refused(offer)) {
       continue;
     }
-    Ask({{offer, 1}}, "unserved");
+    StoreInstanceRequests({{offer, 1}}, "unserved");
     return;
   }
 }
 
-uint32_t Fleet::DrainingReplicas(const Use& use) const {
+uint32_t Autoscaler::DrainingReplicas(const Use& use) const {
   uint32_t replicas = 0;
   for (const auto& [name, machine] : use) {
     if (context_.state_cache.Draining(name)) replicas += machine.replicas;
@@ -572,7 +587,7 @@
 // to be stopped and started elsewhere. Empty machines go first, the dearest
 // before the others. Of busy ones, which get no new tasks and go when they are
 // empty, those with the least on them.
-void Fleet::GiveBack(int surplus, int spare_ordinary, const Use& use) {
+void Autoscaler::ScaleIn(int surplus, int spare_ordinary, const Use& use) {
   SteadyTime now = context_.now();
   std::vector<std::tuple<uint32_t, double, double, std::string>> choice;
   for (const auto& [name, known] : machines_) {
@@ -582,7 +597,7 @@
     auto used = use.find(name);
     bool empty = used == use.end();
     // Before the least charge is used up returning it saves nothing.
-    if (empty && now - known.rented < kMinimumCharge) continue;
+    if (empty && now - known.created < kMinimumCharge) continue;
     if (empty && now - known.idle_since.value_or(now) <
                      context_.tuning.idle_before_return) {
       continue;
@@ -599,7 +614,7 @@
   for (const auto& [replicas, cost, price, name] : choice) {
     if (static_cast<int>(names.size()) >= surplus) break;
     moving += replicas;
-    if (replicas > 0 && moving > kMostDrainingReplicas) break;
+    if (replicas > 0 && moving > kMaxDrainingReplicas) break;
     // Jobs that must not run on spot machines keep what they need.
     bool ordinary = !machines_[name].offer.spot;
     if (ordinary && spare_ordinary <= 0) continue;
@@ -609,7 +624,7 @@
   if (names.empty()) return;
   reason_ = "surplus";
   context_.out.Log(LogLevel::kInfo,
-                   "event=return machines={} target={} have={}", names.size(),
+                   "event=scale_in machines={} target={} have={}", names.size(),
                    target_, count_);
   if (const auto& drain = context_.state_cache.drain()) {
     names.insert(names.begin(), drain->value.machines.begin(),
@@ -619,7 +634,7 @@
 }
 
 // A machine that is still emptying is there at once and costs no boot.
-int Fleet::KeepDraining(int count) {
+int Autoscaler::Uncordon(int count) {
   const auto& stored = context_.state_cache.drain();
   if (!stored) return 0;
   std::vector<std::string> rest;
@@ -640,7 +655,7 @@
   return kept;
 }
 
-void Fleet::StoreDrain(std::vector<std::string> machines) {
+void Autoscaler::StoreDrain(std::vector<std::string> machines) {
   const auto& stored = context_.state_cache.drain();
   // Machines that are gone need no mention any more.
   std::erase_if(machines, [&](const std::string& name) {
@@ -656,28 +671,30 @@
 
 // Rentals are stored first and sent then; what a predecessor stored is sent
 // again under the same name, which rents nothing twice.
-void Fleet::FollowRentals() {
+void Autoscaler::ReconcileInstanceRequests() {
   SteadyTime now = context_.now();
-  for (const auto& [name, rental] : context_.state_cache.rentals()) {
-    if (rental.value.machines.empty()) {
+  for (const auto& [name, instance_request] :
+       context_.state_cache.instance_requests()) {
+    if (instance_request.value.machines.empty()) {
       auto next = next_send_.find(name);
       if (sending_.contains(name)) continue;
       if (next != next_send_.end() && now < next->second) continue;
       if (!context_.cloud.Take(now, 1)) return;
-      SendRental(name, rental.value);
+      SendInstanceRequest(name, instance_request.value);
       continue;
     }
     bool all_listed = true;
-    for (const std::string& machine : rental.value.machines) {
+    for (const std::string& machine : instance_request.value.machines) {
       auto known = machines_.find(machine);
       if (known == machines_.end()) {
         // A successor learns of machines that are not listed yet from here.
-        Duration age = context_.out.now().wall - rental.value.asked;
+        Duration age = context_.out.now().wall - instance_request.value.asked;
         if (age < 2 * context_.deployment.list_lag + Millis(10000)) {
-          Known& fresh = machines_[machine];
-          fresh.offer = {rental.value.type, rental.value.zone,
-                         rental.value.spot};
-          fresh.rented = now - std::max(age, Duration(0));
+          Instance& fresh = machines_[machine];
+          fresh.offer = {instance_request.value.type,
+                         instance_request.value.zone,
+                         instance_request.value.spot};
+          fresh.created = now - std::max(age, Duration(0));
           all_listed = false;
         }
       } else if (known->second.listed == SteadyTime{}) {
@@ -686,19 +703,22 @@
     }
     if (all_listed && !storing_ && deleting_.insert(name).second) {
       Transaction txn;
-      txn.conditions.push_back({keys::Rental(name), rental.mod_revision});
-      txn.writes.push_back({keys::Rental(name), {}, 0});
-      Store(std::move(txn), [this, rental_name = name](const StateReply&) {
-        deleting_.erase(rental_name);
+      txn.conditions.push_back(
+          {keys::InstanceRequest(name), instance_request.mod_revision});
+      txn.writes.push_back({keys::InstanceRequest(name), {}, 0});
+      Store(std::move(txn), [this, request_name = name](const StateReply&) {
+        deleting_.erase(request_name);
       });
     }
   }
 }
 
-void Fleet::SendRental(const std::string& name, const RentalRecord& record) {
+void Autoscaler::SendInstanceRequest(const std::string& name,
+                                     const InstanceRequestRecord& record) {
   sending_.insert(name);
   context_.out.CallCloud(
-      Rent{name, record.type, record.zone, record.spot, record.count},
+      CreateInstances{name, record.type, record.zone, record.spot,
+                      record.count},
       context_.tuning.cloud_timeout,
       [this, name, record,
        alive = std::weak_ptr<int>(alive_)](const CloudReply& reply) {
@@ -706,17 +726,17 @@
         SteadyTime now = context_.now();
         sending_.erase(name);
         next_send_[name] = now + Millis(1500);
-        auto stored = context_.state_cache.rentals().find(name);
-        if (stored == context_.state_cache.rentals().end()) return;
+        auto stored = context_.state_cache.instance_requests().find(name);
+        if (stored == context_.state_cache.instance_requests().end()) return;
         Offer offer{record.type, record.zone, record.spot};
         bool over = reply.no_capacity || reply.status == 400 ||
-                    (reply.status == 200 && reply.rented.empty());
-        context_.out.Log(LogLevel::kInfo,
-                         "event=rental name={} status={} no_capacity={} got={}",
-                         name, reply.status, reply.no_capacity,
-                         reply.rented.size());
+                    (reply.status == 200 && reply.created.empty());
+        context_.out.Log(
+            LogLevel::kInfo,
+            "event=instance_request name={} status={} no_capacity={} got={}",
+            name, reply.status, reply.no_capacity, reply.created.size());
         if (reply.status == 429) context_.cloud.Drain(now);
-        if (over || reply.rented.size() < record.count) {
+        if (over || reply.created.size() < record.count) {
           if (reply.status == 200 || over) {
             refused_until_[offer] = now + kRefusedFor;
           }
@@ -724,16 +744,16 @@
         if (!over && reply.status != 200) return;  // sent again later
         Transaction txn;
         txn.conditions.push_back(
-            {keys::Rental(name), stored->second.mod_revision});
-        Write write{keys::Rental(name), {}, 0};
+            {keys::InstanceRequest(name), stored->second.mod_revision});
+        Write write{keys::InstanceRequest(name), {}, 0};
         if (!over) {
-          RentalRecord answered = record;
-          answered.machines = reply.rented;
+          InstanceRequestRecord answered = record;
+          answered.machines = reply.created;
           write.value = std::move(answered);
-          for (const std::string& machine : reply.rented) {
-            Known& known = machines_[machine];
+          for (const std::string& machine : reply.created) {
+            Instance& known = machines_[machine];
             known.offer = offer;
-            if (known.listed == SteadyTime{}) known.rented = now;
+            if (known.listed == SteadyTime{}) known.created = now;
           }
         }
         txn.writes.push_back(std::move(write));
--- a/src/core/fleet.h
+++ b/src/core/autoscaler.h
@@ -1,7 +1,7 @@
 // The leader's work: how many machines there should be, renting them, choosing
 // which to return. The owner of partition 0 leads.
-#ifndef PITCHFALL_CORE_FLEET_H_
-#define PITCHFALL_CORE_FLEET_H_
+#ifndef PITCHFALL_CORE_AUTOSCALER_H_
+#define PITCHFALL_CORE_AUTOSCALER_H_
 
 #include <cstdint>
 #include <map>
@@ -21,9 +21,9 @@
 // Keeps as many names as a record of this many bytes of JSON can list.
 void KeepWithin(std::vector<std::string>& names, size_t bytes);
 
-class Fleet {
+class Autoscaler {
  public:
-  Fleet(Context& context, uint64_t fencing_token);
+  Autoscaler(Context& context, uint64_t fencing_token);
 
   void Step();
 
@@ -35,10 +35,10 @@
     bool spot = false;
     auto operator<=>(const Offer&) const = default;
   };
-  struct Known {
+  struct Instance {
     Offer offer;
     MachineStatus status = MachineStatus::kBooting;
-    SteadyTime rented{};
+    SteadyTime created{};
     SteadyTime listed{};  // last seen in the list; epoch: never
     bool worked = false;  // has had tasks
     std::optional<SteadyTime> idle_since;
@@ -49,15 +49,16 @@
                  const std::shared_ptr<std::set<std::string>>& seen,
                  SteadyTime started);
   void OnList(const std::set<std::string>& seen, SteadyTime started);
-  void Resize();
-  void FollowRentals();
-  void SendRental(const std::string& name, const RentalRecord& record);
+  void AdjustSize();
+  void ReconcileInstanceRequests();
+  void SendInstanceRequest(const std::string& name,
+                           const InstanceRequestRecord& record);
   void StoreDrain(std::vector<std::string> machines);
   void StoreTypes(TypesRecord types);
   double Price(const Offer& offer) const;
   std::vector<Offer> OffersByPrice() const;
   // Counts, targets and moves, once a second; the series once a period.
-  void FollowPeriod();
+  void RecordPeriod();
   // What is bound to each machine.
   struct MachineUse {
     Resources resources;
@@ -67,34 +68,35 @@
   using Use = std::map<std::string, MachineUse>;
   int CountMachines(const Use& use);
   void DeleteBroken(std::vector<std::string> names);
-  void RentMore(int count, const Demand& demand, bool ordinary_only);
-  void RentFor(const Job& job);
+  void ScaleOut(int count, const Demand& demand, bool ordinary_only);
+  void ScaleOutFor(const Job& job);
   // Zones in which the job's rules allow another of its tasks.
   std::set<std::string> OpenZones(const Job& job) const;
   bool Served(const Job& job, const std::set<Offer>& kinds) const;
-  bool HasRoomForReplica(const Job& job, const Use& use) const;
+  bool HasCapacityForReplica(const Job& job, const Use& use) const;
   bool Refused(const Offer& offer) const;
-  uint32_t MostPerRental() const;
+  uint32_t MaxPerInstanceRequest() const;
   // How many machines to rent of each kind.
   using InstanceOrder = std::map<Offer, int>;
-  void Ask(InstanceOrder order, std::string_view reason);
-  // Machines and pending rentals of each kind.
+  void StoreInstanceRequests(InstanceOrder order, std::string_view reason);
+  // Machines and pending instance requests of each kind.
   std::map<Offer, int> CountByOffer() const;
   bool Serves(const JobSpec& spec, const Offer& offer) const;
-  void GiveBack(int surplus, int spare_ordinary, const Use& use);
+  void ScaleIn(int surplus, int spare_ordinary, const Use& use);
   // Keeps up to `count` machines that were chosen to go; how many.
-  int KeepDraining(int count);
+  int Uncordon(int count);
   uint32_t DrainingReplicas(const Use& use) const;
-  double MachinesFor(const Resources& room) const;
-  std::vector<double> Targets(const Demand& demand, double* room) const;
+  double MachinesFor(const Resources& requested_machines) const;
+  std::vector<double> Targets(const Demand& demand,
+                              double* requested_machines) const;
   int Pending(bool ordinary_only) const;
   void Store(Transaction txn, Outbox::StateHandler handler);
 
   Context& context_;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   const uint64_t fencing_token_;
-  uint32_t rentals_made_ = 0;
-  std::map<std::string, Known> machines_;
+  uint32_t requests_made_ = 0;
+  std::map<std::string, Instance> machines_;
   std::map<Offer, SteadyTime> refused_until_;
   std::set<std::string> sending_;
   std::map<std::string, SteadyTime> next_send_;
@@ -105,8 +107,8 @@
   bool fetching_types_ = false;
   SteadyTime next_types_{};
   SteadyTime next_list_{};
-  SteadyTime next_resize_{};
-  std::optional<SteadyTime> above_since_;
+  SteadyTime next_adjust_{};
+  std::optional<SteadyTime> surplus_since_;
   std::vector<SizingRecord::Point> history_;
   uint64_t last_period_ = 0;
   int target_ = 0;
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -8,8 +8,8 @@
 
 #include "core/budget.h"
 #include "core/cancellation_watermark.h"
+#include "core/free_capacity.h"
 #include "core/outbox.h"
-#include "core/room.h"
 #include "core/settings.h"
 #include "core/state_cache.h"
 #include "core/state_limits.h"
@@ -28,7 +28,7 @@
   TokenBucket& cloud;        // calls to the cloud
   std::string incarnation;   // names this process among all that ever ran
   uint32_t partition_count;  // how many there are
-  RoomBook room;
+  CapacityTable capacity_table;
   CancellationWatermark cancellation_watermark;
   StateLimits state_limits;  // of every write
   // Jobs that another controller has stored as cancelled and whose records here
--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -16,11 +16,11 @@
 // next controller a second later, and is sent back within half a second.
 constexpr Duration kWorkerRound = Millis(5500);
 // So many workers of one partition have not all had a bad moment.
-constexpr uint32_t kManyStrays = 3;
+constexpr uint32_t kManyMisroutedWorkers = 3;
 // Cancellations in one message.
-constexpr size_t kMostCancelled = 500;
+constexpr size_t kMaxCancelled = 500;
 // Reads come several times a second; one that is late means little, a second
-// without any that this controller or the state service has trouble.
+// without any that this controller or the state service has fault.
 constexpr Duration kHealthyAge = Millis(1200);
 // Told as the age of the state by who has not read it yet.
 constexpr Duration kNeverRead = Millis(3'600'000);
@@ -51,9 +51,10 @@
           tuning_.partition_count > 0
               ? tuning_.partition_count
               : static_cast<uint32_t>(deployment_.peers.size() + 1),
-          RoomBook(tuning_.partition_count > 0
-                       ? tuning_.partition_count
-                       : static_cast<uint32_t>(deployment_.peers.size() + 1)),
+          CapacityTable(
+              tuning_.partition_count > 0
+                  ? tuning_.partition_count
+                  : static_cast<uint32_t>(deployment_.peers.size() + 1)),
           CancellationWatermark(deployment_, deployment_.label, incarnation),
           StateLimits(deployment_)},
       ownership_(context_),
@@ -74,10 +75,10 @@
   ownership_.Step();
   FollowOwnership();
   StepPartitions();
-  if (fleet_) fleet_->Step();
+  if (autoscaler_) autoscaler_->Step();
   users_.Step();
   ExchangeHeartbeats();
-  ConsiderStrays();
+  HandOverUnreachablePartitions();
   state_watcher_.Step();
   std::vector<Effect> effects = out_.TakeEffects();
   if (!Healthy()) SendElsewhere(effects);
@@ -119,11 +120,11 @@
                        : partition->second->fencing_token() != fencing_token;
     if (!changed) continue;
     partitions_.erase(number);
-    if (number == 0) fleet_.reset();
+    if (number == 0) autoscaler_.reset();
     if (!fencing_token) continue;
     partitions_.emplace(
         number, std::make_unique<Partition>(context_, number, *fencing_token));
-    if (number == 0) fleet_.emplace(context_, *fencing_token);
+    if (number == 0) autoscaler_.emplace(context_, *fencing_token);
   }
 }
 
@@ -147,7 +148,7 @@
   writes_.SetRate(write_rate, std::max(1.0, 0.7 * write_rate));
   double request_rate = share(state_rates_.rps, requests);
   requests_.SetRate(request_rate, std::max(1.0, 0.7 * request_rate));
-  double cloud = deployment_.cloud_rps * (fleet_ ? 0.6 : 0.4 / nodes);
+  double cloud = deployment_.cloud_rps * (autoscaler_ ? 0.6 : 0.4 / nodes);
   cloud_.SetRate(cloud, std::max(1.0, cloud));
 }
 
@@ -190,21 +191,24 @@
       PartitionOf(command.heartbeat.machine, context_.partition_count);
   auto partition = partitions_.find(number);
   if (partition != partitions_.end()) {
-    strays_.erase(command.heartbeat.machine);
+    misrouted_workers_.erase(command.heartbeat.machine);
     partition->second->OnWorkerHeartbeat(command.request, command.heartbeat);
     return;
   }
   SteadyTime now = out_.now().steady;
-  Stray& stray =
-      strays_.try_emplace(command.heartbeat.machine, Stray{number, now, now})
+  MisroutedWorker& misrouted =
+      misrouted_workers_
+          .try_emplace(command.heartbeat.machine,
+                       MisroutedWorker{number, now, now})
           .first->second;
-  stray.partition = number;
-  stray.last = now;
+  misrouted.partition = number;
+  misrouted.last = now;
   const auto* stored = state_cache_.FindPartition(number);
-  stray.lost_owner = stored != nullptr &&
-                     command.heartbeat.fencing_token == stored->mod_revision;
+  misrouted.lost_owner = stored != nullptr && command.heartbeat.fencing_token ==
+                                                  stored->mod_revision;
   std::string owner = state_watcher_.Fresh() ? ownership_.OwnerOf(number) : "";
-  if (stray.lost_owner && StraysOf(number) >= kManyStrays) {
+  if (misrouted.lost_owner &&
+      MisroutedWorkersOf(number) >= kManyMisroutedWorkers) {
     // To send so many back would cost each another wait, and its lease. Going
     // round they find whoever the partition is handed to.
     out_.Answer(command.request, 421, Redirect{});
@@ -222,7 +226,7 @@
   SteadyTime now = out_.now().steady;
   peers_[heartbeat.label] = {heartbeat, now};
   for (const auto& [partition, free] : heartbeat.free) {
-    context_.room.Update(partition, free, now);
+    context_.capacity_table.Update(partition, free, now);
   }
   for (const std::string& id : heartbeat.cancelled) {
     const Job* job = state_cache_.FindJob(id);
@@ -261,19 +265,19 @@
   };
   heartbeat.requests = follow(request_use_, requests_taken_, requests_.taken());
   heartbeat.writes = follow(write_use_, writes_taken_, writes_.taken());
-  heartbeat.strays.assign(context_.partition_count, 0);
+  heartbeat.misrouted_workers.assign(context_.partition_count, 0);
   Duration recent =
       std::max(3 * deployment_.heartbeat_interval, 2 * kWorkerRound);
-  std::erase_if(strays_, [&](const auto& entry) {
+  std::erase_if(misrouted_workers_, [&](const auto& entry) {
     return now - entry.second.last > recent;
   });
   for (uint32_t partition = 0; partition < context_.partition_count;
        ++partition) {
-    heartbeat.strays[partition] = StraysOf(partition);
+    heartbeat.misrouted_workers[partition] = MisroutedWorkersOf(partition);
   }
   for (const auto& [number, partition] : partitions_) {
     heartbeat.free[number] = partition->Free();
-    context_.room.Update(number, heartbeat.free[number], now);
+    context_.capacity_table.Update(number, heartbeat.free[number], now);
   }
   AddCancellationEchoes(heartbeat);
   out_.Send(std::move(heartbeat));
@@ -298,7 +302,7 @@
   std::ranges::stable_sort(by_revision, std::ranges::greater{},
                            [](const auto& entry) { return entry.first; });
   for (const auto& [revision, peer] : by_revision) {
-    auto cancelled = state_cache_.CancelledSince(revision, kMostCancelled);
+    auto cancelled = state_cache_.CancelledSince(revision, kMaxCancelled);
     if (!cancelled) break;
     heartbeat.cancelled = std::move(*cancelled);
     heartbeat.echoes.push_back({peer->heartbeat.label,
@@ -308,29 +312,30 @@
 }
 
 // A worker that comes once may only be looking for its owner.
-uint32_t Controller::StraysOf(uint32_t partition) const {
-  return static_cast<uint32_t>(
-      std::count_if(strays_.begin(), strays_.end(), [&](const auto& entry) {
-        const Stray& stray = entry.second;
-        return stray.partition == partition &&
-               (stray.lost_owner ||
-                stray.last - stray.first > deployment_.heartbeat_interval);
+uint32_t Controller::MisroutedWorkersOf(uint32_t partition) const {
+  return static_cast<uint32_t>(std::count_if(
+      misrouted_workers_.begin(), misrouted_workers_.end(),
+      [&](const auto& entry) {
+        const MisroutedWorker& misrouted = entry.second;
+        return misrouted.partition == partition &&
+               (misrouted.lost_owner || misrouted.last - misrouted.first >
+                                            deployment_.heartbeat_interval);
       }));
 }
 
 // Workers that cannot reach their owner go round the other controllers. If this
 // owner has heard none of them for a while and a peer has, the peer takes over.
-void Controller::ConsiderStrays() {
+void Controller::HandOverUnreachablePartitions() {
   SteadyTime now = out_.now().steady;
   // Heartbeats of a whole partition that fail to come for one and a half
   // intervals.
-  Duration patience = deployment_.heartbeat_interval * 3 / 2 + Millis(500);
+  Duration delay = deployment_.heartbeat_interval * 3 / 2 + Millis(500);
   for (const auto& [number, partition] : partitions_) {
-    if (now - partition->last_heard() < patience) continue;
+    if (now - partition->last_heard() < delay) continue;
     for (const auto& [label, peer] : peers_) {
       if (now - peer.heard > kPeerFresh ||
-          peer.heartbeat.strays.size() <= number ||
-          peer.heartbeat.strays[number] == 0) {
+          peer.heartbeat.misrouted_workers.size() <= number ||
+          peer.heartbeat.misrouted_workers[number] == 0) {
         continue;
       }
       ownership_.HandOver(number, label, true);
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "core/autoscaler.h"
 #include "core/context.h"
-#include "core/fleet.h"
 #include "core/ownership.h"
 #include "core/partition.h"
 #include "core/users.h"
@@ -59,10 +59,10 @@
   // What lets the others go on answering their workers, and stop what has been
   // cancelled, without the state service.
   void AddCancellationEchoes(PeerHeartbeat& heartbeat) const;
-  void ConsiderStrays();
+  void HandOverUnreachablePartitions();
   // Workers that came here lately because they could not reach the partition's
   // owner.
-  uint32_t StraysOf(uint32_t partition) const;
+  uint32_t MisroutedWorkersOf(uint32_t partition) const;
   bool Healthy() const;
   static void SendElsewhere(std::vector<Effect>& effects);
 
@@ -79,10 +79,10 @@
   Ownership ownership_;
   Users users_;
   std::map<uint32_t, std::unique_ptr<Partition>> partitions_;
-  std::optional<Fleet> fleet_;
+  std::optional<Autoscaler> autoscaler_;
   std::map<std::string, Peer> peers_;
   // Workers that came here and were sent on.
-  struct Stray {
+  struct MisroutedWorker {
     uint32_t partition = 0;
     SteadyTime first{};
     SteadyTime last{};
@@ -90,7 +90,7 @@
     // and would still be there if it could.
     bool lost_owner = false;
   };
-  std::map<std::string, Stray> strays_;
+  std::map<std::string, MisroutedWorker> misrouted_workers_;
   SteadyTime next_heartbeat_{};
   SteadyTime last_heartbeat_{};
   uint64_t announced_cancellations_ = 0;  // of the cancellations stored here
--- a/src/core/demand.cc
+++ b/src/core/demand.cc
@@ -78,12 +78,12 @@
   std::map<std::string, Resources> used;
   for (const auto& [id, job] : state_cache.open_jobs()) {
     used[job->spec().team] +=
-        job->spec().need * static_cast<int64_t>(job->assigned);
+        job->spec().resources * static_cast<int64_t>(job->assigned);
   }
   auto add = [&](const JobSpec& spec, int64_t tasks, double weight) {
-    Resources room = Scale(spec.need * tasks, weight);
-    demand.requested += room;
-    if (!spec.spot) demand.ordinary_only += room;
+    Resources capacity = Scale(spec.resources * tasks, weight);
+    demand.requested += capacity;
+    if (!spec.spot) demand.ordinary_only += capacity;
   };
   for (const Job* job : OrderJobs(state_cache, now, deployment)) {
     const JobSpec& spec = job->spec();
@@ -99,15 +99,15 @@
     auto team = deployment.teams.find(spec.team);
     if (team != deployment.teams.end()) {
       Resources& use = used[spec.team];
-      auto limit = [&](int64_t most, int64_t taken, int64_t need) {
-        if (most > 0 && need > 0) {
+      auto limit = [&](int64_t most, int64_t taken, int64_t needed) {
+        if (most > 0 && needed > 0) {
           admissible =
-              std::min(admissible, std::max<int64_t>(0, most - taken) / need);
+              std::min(admissible, std::max<int64_t>(0, most - taken) / needed);
         }
       };
-      limit(team->second.cpus_limit, use.cpus, spec.need.cpus);
-      limit(team->second.gpus_limit, use.gpus, spec.need.gpus);
-      use += spec.need * admissible;
+      limit(team->second.cpus_limit, use.cpus, spec.resources.cpus);
+      limit(team->second.gpus_limit, use.gpus, spec.resources.gpus);
+      use += spec.resources * admissible;
     }
     // A partition's share of what is admissible, rounded up.
     int64_t mine =
--- a/src/core/demand.h
+++ b/src/core/demand.h
@@ -1,4 +1,4 @@
-// How much room the unfinished jobs ask for.
+// How much capacity the unfinished jobs ask for.
 #ifndef PITCHFALL_CORE_DEMAND_H_
 #define PITCHFALL_CORE_DEMAND_H_
 
@@ -21,16 +21,16 @@
   std::vector<const Job*> waiting_jobs;
 };
 
-// Which part of a job's waiting tasks must have room now if the job is to meet
-// what is expected of it: 1 if there is no time to lose, less if its tasks can
-// run one after another.
+// Which part of a job's waiting tasks must have capacity now if the job is to
+// meet what is expected of it: 1 if there is no time to lose, less if its tasks
+// can run one after another.
 double Pressure(const Job& job, WallTime now, const Deployment& deployment);
 
 // Waiting tasks are admissible as far as their team's limit allows beside the
-// team's other tasks, in the order in which jobs get room. Jobs in `failing`
-// ask for nothing beyond what is running. Each job's waiting tasks ask for room
-// in proportion to their pressure. With `partition`, only the share of chunks
-// that this partition has claimed or will be offered first.
+// team's other tasks, in the order in which jobs get capacity. Jobs in
+// `failing` ask for nothing beyond what is running. Each job's waiting tasks
+// ask for capacity in proportion to their pressure. With `partition`, only the
+// share of chunks that this partition has claimed or will be offered first.
 Demand MeasureDemand(const StateCache& state_cache,
                      const Deployment& deployment,
                      const std::set<std::string>& failing, WallTime now,
--- a/src/core/displacement.cc
+++ b/src/core/displacement.cc
@@ -7,13 +7,13 @@
 namespace {
 
 // Processor seconds of others' work that starting without a fetch is worth.
-constexpr double kMostLostForImageS = 20;
+constexpr double kMaxLostForImageS = 20;
 
 struct Candidate {
   TaskKey key;
   Priority priority = Priority::kLow;
   double lost_s = 0;
-  Resources need;
+  Resources resources;
 };
 
 // A task that can save loses what saving takes; any other all that it has done.
@@ -22,7 +22,7 @@
   const JobSpec& spec = task.job->spec();
   Duration ran = now - *task.running_since;
   Duration lost = spec.checkpoint.count() > 0 ? std::min(ran, spec.save) : ran;
-  return ToSeconds(lost) * static_cast<double>(spec.need.cpus) /
+  return ToSeconds(lost) * static_cast<double>(spec.resources.cpus) /
          Resources::kUnit;
 }
 
@@ -33,7 +33,7 @@
     const JobSpec& other = task.job->spec();
     if (task.stop() || task.ending || other.priority >= spec.priority) continue;
     candidates.push_back(
-        {key, other.priority, LostWork(task, now), other.need});
+        {key, other.priority, LostWork(task, now), other.resources});
   }
   std::ranges::sort(candidates, {}, &Candidate::lost_s);
   return candidates;
@@ -41,39 +41,39 @@
 
 }  // namespace
 
-Resources ExpectedRoom(const Machine& machine) {
-  Resources room = machine.Free();
+Resources ExpectedCapacity(const Machine& machine) {
+  Resources capacity = machine.Free();
   for (const auto& [key, task] : machine.bound) {
-    if (task.stop() && !task.ending) room += task.job->spec().need;
+    if (task.stop() && !task.ending) capacity += task.job->spec().resources;
   }
-  return room;
+  return capacity;
 }
 
 std::optional<Displacement> FindDisplacement(const JobSpec& spec,
                                              Machine& machine,
-                                             const Resources& expected_room,
+                                             const Resources& expected_capacity,
                                              SteadyTime now) {
   Displacement found;
   found.machine = &machine;
-  Resources room = expected_room;
-  if (spec.need.FitsIn(room)) return found;
+  Resources capacity = expected_capacity;
+  if (spec.resources.FitsIn(capacity)) return found;
   for (const Candidate& candidate : Candidates(spec, machine, now)) {
     found.tasks.push_back(candidate.key);
     found.lost_s += candidate.lost_s;
-    room += candidate.need;
-    if (spec.need.FitsIn(room)) return found;
+    capacity += candidate.resources;
+    if (spec.resources.FitsIn(capacity)) return found;
   }
   return std::nullopt;
 }
 
 void Displacer::BeginPlan(SteadyTime now) {
   now_ = now;
-  expected_room_.clear();
+  expected_capacity_.clear();
 }
 
-void Displacer::MakeRoom(const JobSpec& spec, const ZoneUse& use,
-                         const std::vector<Machine*>& machines,
-                         int64_t replicas) {
+void Displacer::DisplaceFor(const JobSpec& spec, const ZoneUse& use,
+                            const std::vector<Machine*>& machines,
+                            int64_t replicas) {
   ZoneUse use_then = use;
   for (int64_t left = replicas; left > 0; --left) {
     auto best = FindCheapest(spec, use_then, machines, false);
@@ -84,10 +84,11 @@
   }
 }
 
-bool Displacer::MakeRoomWithImage(const JobSpec& spec, const ZoneUse& use,
-                                  const std::vector<Machine*>& machines) {
+bool Displacer::DisplaceOnMachineWithImage(
+    const JobSpec& spec, const ZoneUse& use,
+    const std::vector<Machine*>& machines) {
   auto best = FindCheapest(spec, use, machines, true);
-  if (!best || best->lost_s > kMostLostForImageS) return false;
+  if (!best || best->lost_s > kMaxLostForImageS) return false;
   Stop(*best, spec);
   return true;
 }
@@ -99,7 +100,8 @@
   for (Machine* machine : machines) {
     if (with_image && !machine->images.contains(spec.image)) continue;
     if (!Allowed(spec, *machine, use)) continue;
-    auto known = expected_room_.try_emplace(machine, ExpectedRoom(*machine));
+    auto known =
+        expected_capacity_.try_emplace(machine, ExpectedCapacity(*machine));
     auto found = FindDisplacement(spec, *machine, known.first->second, now_);
     if (found && (!best || found->lost_s < best->lost_s)) {
       best = std::move(found);
@@ -110,15 +112,15 @@
 
 void Displacer::Stop(const Displacement& displacement, const JobSpec& spec) {
   Machine& machine = *displacement.machine;
-  Resources& room = expected_room_[&machine];
+  Resources& capacity = expected_capacity_[&machine];
   for (const TaskKey& key : displacement.tasks) {
     BoundAttempt& task = machine.bound.at(key);
     task.displaced = true;
-    room += task.job->spec().need;
+    capacity += task.job->spec().resources;
     out_.Log(LogLevel::kInfo, "event=displace job={} task={} machine={} for={}",
              key.first, key.second, machine.name, spec.id);
   }
-  room -= spec.need;
+  capacity -= spec.resources;
 }
 
 }  // namespace pitchfall
--- a/src/core/displacement.h
+++ b/src/core/displacement.h
@@ -23,18 +23,18 @@
 };
 
 // What the machine will have free once the tasks told to stop are gone.
-Resources ExpectedRoom(const Machine& machine);
+Resources ExpectedCapacity(const Machine& machine);
 
-// Tasks of lower priority whose end makes room for one task of the job, beside
-// `expected_room`, those that lose the least work first. None if they do not
-// suffice.
+// Tasks of lower priority whose end makes capacity for one task of the job,
+// beside `expected_capacity`, those that lose the least work first. None if
+// they do not suffice.
 std::optional<Displacement> FindDisplacement(const JobSpec& spec,
                                              Machine& machine,
-                                             const Resources& expected_room,
+                                             const Resources& expected_capacity,
                                              SteadyTime now);
 
-// Makes room for the replicas that one plan finds no machine for, or none with
-// their image. Remembers what the plan has already promised to others.
+// Makes capacity for the replicas that one plan finds no machine for, or none
+// with their image. Remembers what the plan has already promised to others.
 class Displacer {
  public:
   explicit Displacer(Outbox& out) : out_(out) {}
@@ -42,12 +42,12 @@
   void BeginPlan(SteadyTime now);
   // Tells tasks of lower priority to stop so that as many as `replicas` more
   // tasks of the job can start in one of the next plans.
-  void MakeRoom(const JobSpec& spec, const ZoneUse& use,
-                const std::vector<Machine*>& machines, int64_t replicas);
+  void DisplaceFor(const JobSpec& spec, const ZoneUse& use,
+                   const std::vector<Machine*>& machines, int64_t replicas);
   // The same for one replica, on a machine that has the image. False, and
   // nothing is stopped, if too much work would be lost for it.
-  bool MakeRoomWithImage(const JobSpec& spec, const ZoneUse& use,
-                         const std::vector<Machine*>& machines);
+  bool DisplaceOnMachineWithImage(const JobSpec& spec, const ZoneUse& use,
+                                  const std::vector<Machine*>& machines);
 
  private:
   // The one that loses the least work.
@@ -60,7 +60,7 @@
   Outbox& out_;
   SteadyTime now_{};
   // What will be free on machines, less what is meant for replicas.
-  std::map<Machine*, Resources> expected_room_;
+  std::map<Machine*, Resources> expected_capacity_;
 };
 
 }  // namespace pitchfall
--- a/src/core/fencing_token_announcer.cc
+++ b/src/core/fencing_token_announcer.cc
@@ -10,11 +10,11 @@
 constexpr Duration kCommandTimeout = Millis(2000);
 // Workers whose owner is gone come by themselves within a few seconds.
 constexpr Duration kFirstPageAfter = Millis(1000);
-constexpr Duration kPageGap = Millis(2500);
-constexpr int kMostPages = 6;
+constexpr Duration kPageInterval = Millis(2500);
+constexpr int kMaxPages = 6;
 // Calls to workers at the same time: after a takeover there may be thousands of
 // workers, and most come by themselves before their turn.
-constexpr int kMostInspections = 32;
+constexpr int kMaxInspections = 32;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
 // credit kept the leader from renting after restarts.
 void FencingTokenAnnouncer::FetchNextPage() {
   SteadyTime now = context_.now();
-  if (fetching_ || pages_asked_for_ >= kMostPages || now < next_page_) return;
+  if (fetching_ || pages_asked_for_ >= kMaxPages || now < next_page_) return;
   if (!context_.state_watcher.Fresh() || !context_.cloud.Take(now, 1)) return;
   ++pages_asked_for_;
   fetching_ = true;
@@ -61,11 +61,11 @@
     last_listed_ = more ? reply.listed.back().name : "";
   }
   fetching_ = false;
-  next_page_ = context_.now() + kPageGap;
+  next_page_ = context_.now() + kPageInterval;
 }
 
 void FencingTokenAnnouncer::CallWaitingWorkers() {
-  while (inspecting_ < kMostInspections && !waiting_.empty()) {
+  while (inspecting_ < kMaxInspections && !waiting_.empty()) {
     ListedMachine listed = std::move(waiting_.front());
     waiting_.pop_front();
     if (!has_seen_fencing_token_(listed.name)) Inspect(listed);
--- a/src/core/fencing_token_announcer.h
+++ b/src/core/fencing_token_announcer.h
@@ -5,7 +5,7 @@
 // owner that has lost the state service and not its workers goes on answering
 // them; only a higher fencing token makes these look for the new owner. So the
 // cloud is asked for all machines, and each worker that has not been heard is
-// inspected and sent the fencing token in a command without commands.
+// inspected and sent the fencing token in a message without commands.
 #ifndef PITCHFALL_CORE_FENCING_TOKEN_ANNOUNCER_H_
 #define PITCHFALL_CORE_FENCING_TOKEN_ANNOUNCER_H_
 
--- a/src/core/room.h
+++ b/src/core/free_capacity.h
@@ -1,8 +1,8 @@
 // Free processors of every partition, as its owner last told, less what this
 // controller has given to it since. They are told by the size of tasks: eight
-// machines with one free processor each have no room for a task of four.
-#ifndef PITCHFALL_CORE_ROOM_H_
-#define PITCHFALL_CORE_ROOM_H_
+// machines with one free processor each have no capacity for a task of four.
+#ifndef PITCHFALL_CORE_FREE_CAPACITY_H_
+#define PITCHFALL_CORE_FREE_CAPACITY_H_
 
 #include <algorithm>
 #include <array>
@@ -19,7 +19,7 @@
 namespace pitchfall {
 
 // Free processors in whole slots of 1, 2, 4 ... processors.
-struct FreeRoom {
+struct FreeCapacity {
   static constexpr size_t kSizes = 6;
   using Slots = std::array<int64_t, kSizes>;
   Slots any{};       // on all machines
@@ -41,14 +41,15 @@
       if (!spot) ordinary[size] += cpus;
     }
   }
-  friend bool operator==(const FreeRoom&, const FreeRoom&) = default;
+  friend bool operator==(const FreeCapacity&, const FreeCapacity&) = default;
 };
 
-class RoomBook {
+class CapacityTable {
  public:
-  explicit RoomBook(uint32_t partition_count) : partitions_(partition_count) {}
+  explicit CapacityTable(uint32_t partition_count)
+      : partitions_(partition_count) {}
 
-  void Update(uint32_t partition, const FreeRoom& free, SteadyTime now) {
+  void Update(uint32_t partition, const FreeCapacity& free, SteadyTime now) {
     if (partition < partitions_.size()) partitions_[partition] = {free, now};
   }
   // How many of the job's tasks fit; none if the owner has not been heard for a
@@ -57,22 +58,23 @@
     if (partition >= partitions_.size() ||
         now - partitions_[partition].heard > kFresh)
       return 0;
-    const FreeRoom& free = partitions_[partition].free;
-    size_t size = FreeRoom::SizeFor(spec.need.cpus);
+    const FreeCapacity& free = partitions_[partition].free;
+    size_t size = FreeCapacity::SizeFor(spec.resources.cpus);
     int64_t cpus = spec.spot ? free.any[size] : free.ordinary[size];
     return std::max<int64_t>(0, cpus / Slot(spec));
   }
-  void Deal(uint32_t partition, const JobSpec& spec, int64_t tasks) {
+  void Reserve(uint32_t partition, const JobSpec& spec, int64_t tasks) {
     if (partition >= partitions_.size()) return;
-    FreeRoom& free = partitions_[partition].free;
+    FreeCapacity& free = partitions_[partition].free;
     for (int64_t& cpus : free.any) cpus -= Slot(spec) * tasks;
     for (int64_t& cpus : free.ordinary) cpus -= Slot(spec) * tasks;
   }
-  // The partition with room for the most of the job's tasks, and for how many;
-  // `otherwise` if none has any. Passes over `except`.
-  std::pair<uint32_t, int64_t> Roomiest(const JobSpec& spec, uint32_t otherwise,
-                                        std::optional<uint32_t> except,
-                                        SteadyTime now) const {
+  // The partition with capacity for the most of the job's tasks, and for how
+  // many; `otherwise` if none has any. Passes over `except`.
+  std::pair<uint32_t, int64_t> MostFreeCapacity(const JobSpec& spec,
+                                                uint32_t otherwise,
+                                                std::optional<uint32_t> except,
+                                                SteadyTime now) const {
     std::pair<uint32_t, int64_t> best{otherwise, 0};
     for (uint32_t partition = 0; partition < partitions_.size(); ++partition) {
       int64_t tasks = partition == except ? 0 : Tasks(partition, spec, now);
@@ -80,10 +82,10 @@
     }
     return best;
   }
-  // The next partition after `partition` that has room for any of them.
-  std::pair<uint32_t, int64_t> NextWithRoom(const JobSpec& spec,
-                                            uint32_t partition,
-                                            SteadyTime now) const {
+  // The next partition after `partition` that has capacity for any of them.
+  std::pair<uint32_t, int64_t> NextWithCapacity(const JobSpec& spec,
+                                                uint32_t partition,
+                                                SteadyTime now) const {
     auto count = static_cast<uint32_t>(partitions_.size());
     for (uint32_t n = 1; n < count; ++n) {
       uint32_t next = (partition + n) % count;
@@ -94,13 +96,14 @@
 
  private:
   static int64_t Slot(const JobSpec& spec) {
-    return std::max(spec.need.cpus,
-                    FreeRoom::SlotOf(FreeRoom::SizeFor(spec.need.cpus)));
+    return std::max(
+        spec.resources.cpus,
+        FreeCapacity::SlotOf(FreeCapacity::SizeFor(spec.resources.cpus)));
   }
 
   static constexpr Duration kFresh = Millis(2500);
   struct Entry {
-    FreeRoom free;
+    FreeCapacity free;
     SteadyTime heard{};
   };
   std::vector<Entry> partitions_;
--- a/src/core/jobs.cc
+++ b/src/core/jobs.cc
@@ -47,8 +47,8 @@
          OwnerRuns(record.owners) * kOwnerRunBytes;
 }
 
-size_t MostRecordBytes(const JobSpec& spec) {
-  size_t chunks = std::min<size_t>(spec.tasks, kMostChunks);
+size_t MaxRecordBytes(const JobSpec& spec) {
+  size_t chunks = std::min<size_t>(spec.tasks, kMaxChunks);
   return WordBytes(spec) + kRecordNumbers + chunks * kOwnerRunBytes;
 }
 
@@ -90,18 +90,18 @@
                           const TypesRecord& types, size_t value_bytes) {
   auto team = deployment.teams.find(spec.team);
   if (team == deployment.teams.end()) return "unknown team " + spec.team;
-  if (MostRecordBytes(spec) > value_bytes ||
-      MostRecordBytes(spec) > kTransactionBytes / 2) {
+  if (MaxRecordBytes(spec) > value_bytes ||
+      MaxRecordBytes(spec) > kTransactionBytes / 2) {
     return "its description is longer than the state service can keep";
   }
   const Team& limits = team->second;
   // Tasks of an array can run one after another, others only together.
   int64_t at_once = spec.shape == Shape::kArray ? 1 : spec.tasks;
-  Resources need = spec.need * at_once;
-  if (limits.cpus_limit > 0 && need.cpus > limits.cpus_limit) {
+  Resources resources = spec.resources * at_once;
+  if (limits.cpus_limit > 0 && resources.cpus > limits.cpus_limit) {
     return "needs more processors at once than team " + spec.team + " may use";
   }
-  if (limits.gpus_limit > 0 && need.gpus > limits.gpus_limit) {
+  if (limits.gpus_limit > 0 && resources.gpus > limits.gpus_limit) {
     return "needs more accelerators at once than team " + spec.team +
            " may use";
   }
@@ -111,7 +111,7 @@
                                         spec.zone) == type.zones.end()) {
       continue;
     }
-    if (spec.need.FitsIn(type.capacity)) return "";
+    if (spec.resources.FitsIn(type.capacity)) return "";
   }
   return "a task fits no machine type that the job allows";
 }
--- a/src/core/jobs.h
+++ b/src/core/jobs.h
@@ -80,7 +80,7 @@
 // How many bytes the record takes as JSON, at the most.
 size_t RecordBytes(const JobRecord& record);
 // The same for the job's record whatever becomes of it.
-size_t MostRecordBytes(const JobSpec& spec);
+size_t MaxRecordBytes(const JobSpec& spec);
 
 // The record with the job's last state. An earlier version of pitchfall may
 // have stored more than `value_bytes`: then what is not needed to account for
--- a/src/core/limits.h
+++ b/src/core/limits.h
@@ -8,13 +8,13 @@
 namespace pitchfall {
 
 // Into how many chunks a job is cut at the most.
-inline constexpr uint32_t kMostChunks = 64;
+inline constexpr uint32_t kMaxChunks = 64;
 
 // How many tasks of a chunk may be on machines at once, beside the bound that
 // the size of a value sets (SegmentFiller). Versions before 2 refuse to read
-// records that bind more than kMostInChunkVersion1.
-inline constexpr uint32_t kMostInChunkVersion1 = 96;
-inline constexpr uint32_t kMostInChunk = 2048;
+// records that bind more than kMaxInChunkVersion1.
+inline constexpr uint32_t kMaxInChunkVersion1 = 96;
+inline constexpr uint32_t kMaxInChunk = 2048;
 
 // The state service takes this many bytes in a transaction, counted as JSON;
 // the rest of them is for what counting in advance may miss.
--- a/src/core/machine.cc
+++ b/src/core/machine.cc
@@ -51,7 +51,7 @@
         return AttemptOutcome::kDone;
       case ExitCause::kError:
         return AttemptOutcome::kFailed;
-      case ExitCause::kNoRoom:
+      case ExitCause::kNoCapacity:
       case ExitCause::kBusy:
       case ExitCause::kUnknownTask:
         return AttemptOutcome::kRefused;
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -30,12 +30,12 @@
   bool reported = false;
   // Session and number of the heartbeat whose answer last carried the start.
   std::optional<std::pair<uint64_t, uint64_t>> start_sent;
-  // To be stopped: before its machine is taken, or to make room.
-  bool leave = false;
+  // To be stopped: before its machine is taken, or to make capacity.
+  bool drain_requested = false;
   bool preempted = false;
   bool displaced = false;  // for a replica that needs its place
   bool at_once = false;    // without saving
-  bool stop() const { return leave || preempted || displaced; }
+  bool stop() const { return drain_requested || preempted || displaced; }
   bool stop_sent = false;  // by a direct command that has not failed
   // That it is not bound here any more is being stored, or was, for all that
   // is known: it may be started elsewhere at any moment, so never here now.
@@ -54,9 +54,9 @@
   Resources capacity;  // zero until the type is known
 
   std::map<TaskKey, BoundAttempt> bound;
-  Resources used;       // by what is held
-  Resources stray_use;  // by reported tasks that are not held
-  Resources planned;    // by assignments of the transaction being built
+  Resources used;         // by what is held
+  Resources unbound_use;  // by reported tasks that are not held
+  Resources planned;      // by assignments of the transaction being built
 
   std::optional<WorkerHeartbeat> heartbeat;  // the newest
   SteadyTime heard{};
@@ -74,7 +74,7 @@
   // Since when it has shown no sign of hearing answers, although it should
   // have: no fencing token, starts that are not carried out, agent epochs that
   // end.
-  std::optional<SteadyTime> doubtful_since;
+  std::optional<SteadyTime> inbound_suspect_since;
   SteadyTime agent_epoch_since{};  // when its agent epoch was first heard of
   int answers = 0;                 // in this agent epoch
   // An agent epoch has ended although its heartbeats were answered.
@@ -83,11 +83,11 @@
   // heartbeat that was held back on the way. The next heartbeat tells.
   bool back = true;
 
-  bool drain = false;     // chosen to go: gets no new tasks
-  bool sick = false;      // fails what it starts: the same
-  bool deleting = false;  // deletion asked for; it may come any time now
-  bool gone = false;      // proven
-  std::optional<SteadyTime> taken_at;  // spot notice
+  bool drain = false;        // chosen to go: gets no new tasks
+  bool quarantined = false;  // fails what it starts: the same
+  bool deleting = false;     // deletion asked for; it may come any time now
+  bool gone = false;         // proven
+  std::optional<SteadyTime> preemption_at;  // spot notice
   std::optional<SteadyTime> idle_since;
   SteadyTime paused_until{};  // refused a start a moment ago
   SteadyTime next_stop{};     // a direct command failed a moment ago
@@ -107,11 +107,11 @@
     return bound_images.contains(image) || planned_images.contains(image);
   }
 
-  Resources Free() const { return capacity - used - stray_use - planned; }
+  Resources Free() const { return capacity - used - unbound_use - planned; }
   bool TakesTasks(SteadyTime now) const {
-    return heartbeat && fencing_token_seen && !drain && !sick && !deleting &&
-           !gone && !taken_at && !doubtful_since && !back &&
-           now >= paused_until;
+    return heartbeat && fencing_token_seen && !drain && !quarantined &&
+           !deleting && !gone && !preemption_at && !inbound_suspect_since &&
+           !back && now >= paused_until;
   }
 };
 
@@ -120,7 +120,7 @@
   kBound,    // there, or on its way
   kDone,     // completed
   kFailed,   // ended with an error
-  kRefused,  // the worker had no room, or another attempt of the task
+  kRefused,  // the worker had no capacity, or another attempt of the task
   kGone,     // stopped, lost, or never started and not to be started
 };
 
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -11,8 +11,8 @@
 #include <variant>
 #include <vector>
 
+#include "core/free_capacity.h"
 #include "core/records.h"
-#include "core/room.h"
 #include "core/time.h"
 
 namespace pitchfall {
@@ -28,7 +28,7 @@
   kDone,
   kStopped,
   kError,
-  kNoRoom,
+  kNoCapacity,
   kBusy,
   kUnknownTask,
 };
@@ -50,7 +50,7 @@
   uint64_t agent_epoch = 0;
   uint64_t seq = 0;
   uint64_t fencing_token = 0;
-  std::optional<Duration> notice;
+  std::optional<Duration> preemption_notice;
   std::vector<ReportedTask> tasks;
 };
 
@@ -126,7 +126,7 @@
 // ---- Cloud ----
 
 struct GetTypes {};
-struct Rent {
+struct CreateInstances {
   std::string name;
   std::string type;
   std::string zone;
@@ -139,7 +139,8 @@
 struct ListMachines {
   std::string after;
 };
-using CloudRequest = std::variant<GetTypes, Rent, DeleteMachines, ListMachines>;
+using CloudRequest =
+    std::variant<GetTypes, CreateInstances, DeleteMachines, ListMachines>;
 
 enum class MachineStatus : uint8_t { kBooting, kRunning, kFailed };
 struct ListedMachine {
@@ -157,7 +158,7 @@
   int status = 0;
   bool no_capacity = false;
   std::vector<MachineType> types;
-  std::vector<std::string> rented;
+  std::vector<std::string> created;
   std::vector<ListedMachine> listed;
   bool more = false;
 };
@@ -186,9 +187,9 @@
   Duration state_age{0};  // since this controller last read the state
   // Per partition: workers that came here in the last seconds because they
   // could not reach its owner.
-  std::vector<uint32_t> strays;
+  std::vector<uint32_t> misrouted_workers;
   // Of the partitions that I own.
-  std::map<uint32_t, FreeRoom> free;
+  std::map<uint32_t, FreeCapacity> free;
   // What this controller has lately used of the shared rates, a second.
   double requests = 0;
   double writes = 0;
--- a/src/core/ownership.cc
+++ b/src/core/ownership.cc
@@ -8,7 +8,7 @@
 namespace pitchfall {
 namespace {
 
-constexpr Duration kShunFor = Millis(60000);
+constexpr Duration kUnreachableOwnerDelay = Millis(60000);
 
 }  // namespace
 
@@ -148,8 +148,8 @@
     auto alive = alive_since_.find(ideal);
     if (ideal != me && alive != alive_since_.end() &&
         now - alive->second >= context_.tuning.handover_after &&
-        (current->value.shunned != ideal ||
-         now - vacancy.mine_since >= kShunFor)) {
+        (current->value.unreachable_owner != ideal ||
+         now - vacancy.mine_since >= kUnreachableOwnerDelay)) {
       HandOver(partition, ideal, false);
     }
     return;
--- a/src/core/partition.cc
+++ b/src/core/partition.cc
@@ -15,29 +15,29 @@
 constexpr Duration kScheduleInterval = Millis(80);
 constexpr Duration kIdleScheduleInterval = Millis(250);
 constexpr Duration kCommandTimeout = Millis(2000);
-constexpr Duration kStopAgain = Millis(1000);
+constexpr Duration kStopRetryInterval = Millis(1000);
 constexpr Duration kLeaseMargin = Millis(500);
 constexpr Duration kCancelMargin = Millis(2000);
 // A heartbeat waits so long for tokens before it is answered without what they
 // would have stored.
-constexpr Duration kStoreWait = Millis(600);
+constexpr Duration kStoreTimeout = Millis(600);
 // A start does not count for users if the task is stopped sooner.
-constexpr Duration kLeastRun = Millis(32000);
-constexpr Duration kWorthMoving = Millis(10000);
+constexpr Duration kMinRunBeforeDrain = Millis(32000);
+constexpr Duration kMinWorkToDrain = Millis(10000);
 // A job's id in a heartbeat, with quotes and comma.
 constexpr size_t kFailingJobBytes = 28;
 // Of one more task on a machine of its own, in a chunk's record.
-constexpr size_t kMostAssignmentBytes = 100;
+constexpr size_t kMaxAssignmentBytes = 100;
 // Ranges of tasks that surely fit into kRecordBytes.
 constexpr size_t kFewRanges = 16;
 // A small record's, with names of fields.
 constexpr size_t kRecordBytes = 600;
 // A replica waits so long at the most for another partition to take it, or for
 // room on a machine that has its image.
-constexpr Duration kWaitForMove = Millis(1000);
-constexpr Duration kWaitForImage = Millis(2500);
+constexpr Duration kTransferWait = Millis(1000);
+constexpr Duration kImageWait = Millis(2500);
 // On their way from one machine that is to go.
-constexpr int kReplicasMovedAtOnce = 2;
+constexpr int kMaxDrainingReplicasPerMachine = 2;
 // A replica that has run for so long was started successfully.
 constexpr Duration kProvenRun = Millis(15000);
 
@@ -87,7 +87,7 @@
 
 void Partition::OnChunk(const Job& job, uint32_t /*chunk*/,
                         const Job::Chunk* before, const Job::Chunk* after) {
-  dirty_ = true;
+  schedule_needed_ = true;
   const JobSpec& spec = job.spec();
   static const std::vector<Assignment> kNone;
   auto mine = [&](const Job::Chunk* chunk) -> const std::vector<Assignment>& {
@@ -105,8 +105,8 @@
     if (--machine.bound_images[spec.image] <= 0) {
       machine.bound_images.erase(spec.image);
     }
-    machine.used -= spec.need;
-    quota_.AddBound(spec.team, Resources{} - spec.need);
+    machine.used -= spec.resources;
+    quota_.AddBound(spec.team, Resources{} - spec.resources);
   }
   for (const Assignment& assignment : mine(after)) {
     if (among(mine(before), assignment)) continue;
@@ -117,9 +117,9 @@
     bound.bound_by_previous_owner = loading_chunks_;
     machine.bound[{spec.id, assignment.task}] = bound;
     machine.bound_images[spec.image] += 1;
-    machine.used += spec.need;
+    machine.used += spec.resources;
     machine.idle_since.reset();
-    quota_.AddBound(spec.team, spec.need);
+    quota_.AddBound(spec.team, spec.resources);
   }
 }
 
@@ -139,7 +139,7 @@
   if (fencing_token <= fencing_token_) return;
   if (!deposed_) {
     context_.out.Log(LogLevel::kInfo,
-                     "event=superseded partition={} by={} token={}", number_,
+                     "event=deposed partition={} by={} token={}", number_,
                      label, fencing_token);
   }
   deposed_ = true;
@@ -198,8 +198,8 @@
     machine.last_answer = now;
   }
   UpdateMachine(machine);
-  WeighHearing(machine, before);
-  dirty_ = true;
+  UpdateInboundReachability(machine, before);
+  schedule_needed_ = true;
 }
 
 // The network may hold a heartbeat back and deliver it, or a copy of it,
@@ -220,15 +220,15 @@
 // A machine may report and yet hear nothing. That is not seen from any one
 // report, since answers get lost; but one that hears takes the fencing token,
 // carries starts out, and stays in its agent epoch as long as it is answered.
-void Partition::WeighHearing(Machine& machine,
-                             const std::optional<WorkerHeartbeat>& before) {
+void Partition::UpdateInboundReachability(
+    Machine& machine, const std::optional<WorkerHeartbeat>& before) {
   SteadyTime now = context_.now();
   const WorkerHeartbeat& heartbeat = *machine.heartbeat;
   Duration lease = WithDrift(context_.deployment.worker_lease);
   if (!before || before->agent_epoch != heartbeat.agent_epoch) {
     if (machine.answers >= 3 && now - machine.last_answer < lease) {
       machine.epoch_ended_while_answered = true;
-      if (!machine.doubtful_since) machine.doubtful_since = now;
+      if (!machine.inbound_suspect_since) machine.inbound_suspect_since = now;
     }
     machine.agent_epoch_since = now;
     machine.answers = 0;
@@ -243,16 +243,16 @@
   bool stays = now - machine.agent_epoch_since >
                lease + 2 * context_.deployment.heartbeat_interval;
   if (unheeded) {
-    if (!machine.doubtful_since) machine.doubtful_since = now;
+    if (!machine.inbound_suspect_since) machine.inbound_suspect_since = now;
   } else if (stays || !machine.epoch_ended_while_answered) {
-    machine.doubtful_since.reset();
+    machine.inbound_suspect_since.reset();
     machine.epoch_ended_while_answered = false;
   }
 }
 
-bool Partition::Deaf(const Machine& machine) const {
-  return machine.doubtful_since &&
-         context_.now() - *machine.doubtful_since >
+bool Partition::InboundUnreachable(const Machine& machine) const {
+  return machine.inbound_suspect_since &&
+         context_.now() - *machine.inbound_suspect_since >
              WithDrift(context_.deployment.worker_lease) +
                  4 * context_.deployment.heartbeat_interval;
 }
@@ -266,13 +266,15 @@
   if (const MachineType* type = context_.state_cache.FindType(heartbeat.type)) {
     machine.capacity = type->capacity;
   }
-  if (heartbeat.notice && !machine.taken_at) {
-    machine.taken_at = machine.heard + *heartbeat.notice;
+  if (heartbeat.preemption_notice && !machine.preemption_at) {
+    machine.preemption_at = machine.heard + *heartbeat.preemption_notice;
     context_.out.Log(
-        LogLevel::kInfo, "event=spot_notice machine={} seconds={:.1f} tasks={}",
-        machine.name, ToSeconds(*heartbeat.notice), machine.bound.size());
+        LogLevel::kInfo,
+        "event=preemption_notice machine={} seconds={:.1f} tasks={}",
+        machine.name, ToSeconds(*heartbeat.preemption_notice),
+        machine.bound.size());
   }
-  machine.stray_use = {};
+  machine.unbound_use = {};
   for (const ReportedTask& task : heartbeat.tasks) {
     if (task.state == TaskState::kExited) continue;
     auto bound = machine.bound.find({task.job, task.task});
@@ -290,7 +292,7 @@
       continue;
     }
     const Job* job = context_.state_cache.FindJob(task.job);
-    if (job != nullptr) machine.stray_use += job->spec().need;
+    if (job != nullptr) machine.unbound_use += job->spec().resources;
   }
   bool busy = !machine.bound.empty() || !heartbeat.tasks.empty();
   if (busy) {
@@ -379,7 +381,7 @@
   if (reply.status == 200) return;
   auto machine = machines_.find(name);
   if (machine == machines_.end()) return;
-  machine->second.next_stop = context_.now() + kStopAgain;
+  machine->second.next_stop = context_.now() + kStopRetryInterval;
   for (const WorkerCommand& stop : stops) {
     auto bound = machine->second.bound.find({stop.job, stop.task});
     if (bound == machine->second.bound.end()) continue;
@@ -414,8 +416,9 @@
   if (now < next_reconcile_) return;
   next_reconcile_ = now + kReconcileInterval;
   // Without tokens nothing that would be stored is worth the full wait.
-  AnswerHeartbeats(
-      now - (short_of_tokens_ ? kStoreWait : context_.tuning.heartbeat_hold));
+  AnswerHeartbeats(now - (short_of_write_tokens_
+                              ? kStoreTimeout
+                              : context_.tuning.heartbeat_hold));
   CheckMachines();
   DeleteMachines();
   SendStops();
@@ -426,7 +429,7 @@
   ReconcileMachines();
   announcer_.Step();
   if (storing_ || now < next_schedule_) return;
-  if (!dirty_ && now - next_schedule_ < kIdleScheduleInterval) return;
+  if (!schedule_needed_ && now - next_schedule_ < kIdleScheduleInterval) return;
   if (!context_.state_watcher.Fresh()) {
     AnswerHeartbeats(now);
     next_schedule_ = now + kScheduleInterval;
@@ -451,9 +454,9 @@
     bool chosen = context_.state_cache.Draining(machine.name);
     if (chosen != machine.drain) {
       machine.drain = chosen;
-      dirty_ = true;
+      schedule_needed_ = true;
       context_.out.Log(LogLevel::kInfo, "event={} machine={} tasks={}",
-                       chosen ? "drain" : "keep", machine.name,
+                       chosen ? "cordon" : "uncordon", machine.name,
                        machine.bound.size());
     }
     bool answered = machine.last_answer != SteadyTime{};
@@ -465,25 +468,25 @@
                     : former_over && (unheard || lease_over);
     if (!machine.gone && lost) {
       machine.gone = true;
-      dirty_ = true;
+      schedule_needed_ = true;
       context_.out.Log(
           LogLevel::kWarning, "event=worker_lost machine={} proof={} tasks={}",
           machine.name, machine.fencing_token_seen ? "lease" : "former_owner",
           machine.bound.size());
     }
-    if (machine.drain || machine.sick || machine.taken_at) {
-      MoveReplicas(machine);
+    if (machine.drain || machine.quarantined || machine.preemption_at) {
+      DrainReplicas(machine);
     }
-    if (machine.drain) MoveSavable(machine);
-    if (machine.taken_at) {
+    if (machine.drain) DrainCheckpointed(machine);
+    if (machine.preemption_at) {
       // Save what can be saved before the machine is taken.
-      Duration left = *machine.taken_at - now;
+      Duration left = *machine.preemption_at - now;
       for (auto& [key, task] : machine.bound) {
         const JobSpec& spec = task.job->spec();
-        if (!task.leave && spec.checkpoint.count() > 0 &&
+        if (!task.drain_requested && spec.checkpoint.count() > 0 &&
             left < spec.save + 2 * context_.deployment.heartbeat_interval +
                        Millis(2000)) {
-          task.leave = true;
+          task.drain_requested = true;
         }
       }
     }
@@ -497,63 +500,65 @@
 }
 
 // Replicas would never end: those on a machine that is to go run elsewhere, as
-// soon as another machine has room. A few at a time, so that each finds its
+// soon as another machine has capacity. A few at a time, so that each finds its
 // place free.
-void Partition::MoveReplicas(Machine& machine) {
+void Partition::DrainReplicas(Machine& machine) {
   auto moving = std::ranges::count_if(machine.bound, [](const auto& entry) {
     return entry.second.job->spec().shape == Shape::kService &&
-           entry.second.leave;
+           entry.second.drain_requested;
   });
   SteadyTime now = context_.now();
   bool soon_taken =
-      machine.taken_at &&
-      *machine.taken_at - now <
+      machine.preemption_at &&
+      *machine.preemption_at - now <
           2 * context_.deployment.heartbeat_interval + Millis(2000);
   for (auto& [key, task] : machine.bound) {
-    if (task.job->spec().shape != Shape::kService || task.leave) continue;
-    bool place = moving < kReplicasMovedAtOnce &&
-                 HasPlaceBeside(machine, task.job->spec());
+    if (task.job->spec().shape != Shape::kService || task.drain_requested)
+      continue;
+    bool place = moving < kMaxDrainingReplicasPerMachine &&
+                 HasCapacityElsewhere(machine, task.job->spec());
     if (!place && !soon_taken) continue;
-    task.leave = true;
+    task.drain_requested = true;
     ++moving;
     context_.out.Log(LogLevel::kInfo,
-                     "event=move_replica job={} task={} machine={}", key.first,
+                     "event=drain_replica job={} task={} machine={}", key.first,
                      key.second, machine.name);
   }
 }
 
 // Whether another machine in the same zone, where the job's rules surely allow
-// it, has room for one of its tasks.
-bool Partition::HasPlaceBeside(const Machine& machine,
-                               const JobSpec& spec) const {
+// it, has capacity for one of its tasks.
+bool Partition::HasCapacityElsewhere(const Machine& machine,
+                                     const JobSpec& spec) const {
   SteadyTime now = context_.now();
   return std::ranges::any_of(machines_, [&](const auto& entry) {
     const Machine& other = entry.second;
     return other.name != machine.name && other.zone == machine.zone &&
            other.TakesTasks(now) && Allowed(spec, other, {}) &&
-           spec.need.FitsIn(other.Free());
+           spec.resources.FitsIn(other.Free());
   });
 }
 
 // What is left on a machine that is to go keeps it rented. Tasks that can save
 // go on elsewhere if nothing else is left there, unless they have only begun or
 // are about to end: moving costs the saving, a fetch and a new start.
-void Partition::MoveSavable(Machine& machine) {
+void Partition::DrainCheckpointed(Machine& machine) {
   SteadyTime now = context_.now();
   bool worth = false;
   for (const auto& [key, task] : machine.bound) {
     const JobSpec& spec = task.job->spec();
     if (spec.checkpoint.count() == 0 || !task.running_since) return;
     Duration ran = now - *task.running_since;
-    if (ran < kLeastRun) return;
-    worth |= spec.estimate - ran > spec.save + kWorthMoving;
+    if (ran < kMinRunBeforeDrain) return;
+    worth |= spec.estimate - ran > spec.save + kMinWorkToDrain;
   }
   if (!worth) return;
   for (auto& [key, task] : machine.bound) {
-    if (task.leave) continue;
-    task.leave = true;
-    context_.out.Log(LogLevel::kInfo, "event=move job={} task={} machine={}",
-                     key.first, key.second, machine.name);
+    if (task.drain_requested) continue;
+    task.drain_requested = true;
+    context_.out.Log(LogLevel::kInfo,
+                     "event=drain_task job={} task={} machine={}", key.first,
+                     key.second, machine.name);
   }
 }
 
@@ -568,15 +573,16 @@
   };
   size_t heard = 0;
   size_t silent = 0;
-  size_t deaf = 0;
+  size_t inbound_cut = 0;
   for (const auto& [name, machine] : machines_) {
     (silence(machine) < 2 * interval ? heard : silent) += 1;
-    deaf += Deaf(machine);
+    inbound_cut += InboundUnreachable(machine);
   }
   // If most have fallen silent at once it is more likely the network; if many
   // hear nothing, it is more likely this controller that answers too late.
   bool believable = heard >= silent;
-  bool deaf_believable = deaf <= std::max<size_t>(1, machines_.size() / 4);
+  bool unreachable_believable =
+      inbound_cut <= std::max<size_t>(1, machines_.size() / 4);
   std::vector<std::string> names;
   for (auto& [name, machine] : machines_) {
     if (names.size() >= 100) break;
@@ -585,17 +591,17 @@
         (believable &&
          silence(machine) > (unheard ? lease : 3 * interval + Millis(2000))) ||
         silence(machine) > 3 * lease;
-    bool empty = machine.heartbeat && (machine.drain || machine.sick) &&
+    bool empty = machine.heartbeat && (machine.drain || machine.quarantined) &&
                  machine.bound.empty() && machine.waiting == 0 &&
                  machine.heartbeat->tasks.empty();
-    bool unhearing = deaf_believable && Deaf(machine);
-    if (!lost && !empty && !unhearing && !machine.deleting) continue;
+    bool unreachable = unreachable_believable && InboundUnreachable(machine);
+    if (!lost && !empty && !unreachable && !machine.deleting) continue;
     if (!machine.deleting) {
       context_.out.Log(LogLevel::kInfo,
                        "event=delete machine={} reason={} tasks={}", name,
-                       lost        ? "silent"
-                       : unhearing ? "deaf"
-                                   : "drained",
+                       lost          ? "silent"
+                       : unreachable ? "inbound_unreachable"
+                                     : "drained",
                        machine.bound.size());
     }
     machine.deleting = true;
@@ -620,14 +626,14 @@
           RefuseHeartbeat(machine->second);
           machine->second.gone = true;
         }
-        dirty_ = true;
+        schedule_needed_ = true;
       });
 }
 
 // ---- Planning ----
 
-Partition::Draft::ChunkChange& Partition::Touch(Draft& draft, const Job& job,
-                                                uint32_t chunk) {
+Partition::Draft::ChunkChange& Partition::ChangeOf(Draft& draft, const Job& job,
+                                                   uint32_t chunk) {
   auto [it, is_new] = draft.chunks.try_emplace({job.spec().id, chunk});
   if (is_new) {
     it->second.job = &job;
@@ -640,9 +646,9 @@
   return it->second;
 }
 
-bool Partition::MayTouch(const Draft& draft, const Job& job,
-                         uint32_t chunk) const {
-  return draft.chunks.size() < most_chunks_ ||
+bool Partition::MayChange(const Draft& draft, const Job& job,
+                          uint32_t chunk) const {
+  return draft.chunks.size() < max_chunks_ ||
          draft.chunks.contains({job.spec().id, chunk});
 }
 
@@ -689,7 +695,7 @@
 void Partition::DraftEnds(Draft& draft) {
   for (const auto& [key, ends] : FindEnds()) {
     const Job& job = *ends.front().bound->job;
-    if (!MayTouch(draft, job, key.second)) continue;
+    if (!MayChange(draft, job, key.second)) continue;
     ChunkRecord record = RecordAfter(ends, key.second);
     // Stored by an earlier version when values could be larger: it waits until
     // enough of its tasks have ended.
@@ -697,13 +703,13 @@
     draft.chunks[key] = {&job, std::move(record)};
     for (const TaskEnd& end : ends) {
       end.bound->ending = true;
-      NoteEnd(draft, job, end);
+      RecordEnd(draft, job, end);
     }
   }
 }
 
 // What to remember of the end once it is stored, and what it frees.
-void Partition::NoteEnd(Draft& draft, const Job& job, const TaskEnd& end) {
+void Partition::RecordEnd(Draft& draft, const Job& job, const TaskEnd& end) {
   const std::string& id = job.spec().id;
   bool completed = end.outcome == AttemptOutcome::kDone;
   bool replica = job.spec().shape == Shape::kService;
@@ -721,8 +727,8 @@
   } else if (end.outcome == AttemptOutcome::kRefused) {
     draft.refusals.push_back({end.machine->name, id});
   }
-  end.machine->planned -= job.spec().need;
-  quota_.AddPlanned(job.spec().team, Resources{} - job.spec().need);
+  end.machine->planned -= job.spec().resources;
+  quota_.AddPlanned(job.spec().team, Resources{} - job.spec().resources);
 }
 
 void Partition::DraftFinishedJobs(Draft& draft) {
@@ -776,33 +782,34 @@
       spec.shape == Shape::kService ||
       context_.deployment.StartsWithin(
           spec.job_class, 2 * context_.deployment.heartbeat_interval);
-  size_t most_in_chunk =
+  size_t max_in_chunk =
       context_.state_cache.AllNodesSupport(kStandingJobsVersion)
-          ? kMostInChunk
-          : kMostInChunkVersion1;
+          ? kMaxInChunk
+          : kMaxInChunkVersion1;
   for (uint32_t task = job.chunk_begin(chunk); task < job.chunk_end(chunk);
        ++task) {
     if (HasTask(taken, task)) continue;
-    if (on >= most_in_chunk || !FitsWithOneMore(spec.id, chunk, *record)) {
+    if (on >= max_in_chunk || !FitsWithOneMore(spec.id, chunk, *record)) {
       return Placed::kAll;
     }
     // Every job that starts is a condition, of which a transaction takes four
     // for each of its writes; the rest are for segments, teams and ends.
     if (!draft.starting.contains(&job) &&
-        draft.starting.size() >= most_starting_) {
+        draft.starting.size() >= max_starting_) {
       return Placed::kNoQuota;
     }
-    bool serialise = Serialised(job) && !draft.serialised.contains(&job);
-    if (serialise && draft.others() >= draft_limit_) return Placed::kNoQuota;
-    if (serialise && !FitsValue(job.record)) return Placed::kNoQuota;
-    if (!MayTouch(draft, job, chunk)) return Placed::kNoQuota;
+    bool order_start =
+        NeedsOrderedStarts(job) && !draft.ordered_starts.contains(&job);
+    if (order_start && draft.others() >= draft_limit_) return Placed::kNoQuota;
+    if (order_start && !FitsValue(job.record)) return Placed::kNoQuota;
+    if (!MayChange(draft, job, chunk)) return Placed::kNoQuota;
     Machine* machine = ChooseMachine(spec, tasks - CountTasks(taken), use, open,
                                      avoid, hurried, widest_);
     if (machine == nullptr) return Placed::kNoMachine;
     if (AwaitsImage(job, *machine, use, open)) continue;
     bool may_add = draft.others() < draft_limit_;
-    if (!quota_.Allot(job, draft.teams, may_add)) return Placed::kNoQuota;
-    ChunkRecord& changed = Touch(draft, job, chunk).record;
+    if (!quota_.Acquire(job, draft.teams, may_add)) return Placed::kNoQuota;
+    ChunkRecord& changed = ChangeOf(draft, job, chunk).record;
     record = &changed;
     // One number for all that start together keeps the record small.
     uint32_t attempt = stored == nullptr ? 1 : stored->record.next_attempt;
@@ -811,13 +818,13 @@
     ++on;
     AddTask(taken, task);
     draft.starting.insert(&job);
-    if (serialise) draft.serialised.insert(&job);
-    machine->planned += spec.need;
+    if (order_start) draft.ordered_starts.insert(&job);
+    machine->planned += spec.resources;
     machine->planned_images.insert(spec.image);
     if (spec.shape == Shape::kService) {
       machine->planned_services.insert(spec.id);
     }
-    quota_.AddPlanned(spec.team, spec.need);
+    quota_.AddPlanned(spec.team, spec.resources);
     use.tasks[machine->zone] += 1;
     use.total += 1;
     draft.starts += 1;
@@ -839,12 +846,11 @@
 // tasks, once another of them is on a machine.
 bool Partition::FitsWithOneMore(const std::string& job, uint32_t chunk,
                                 const ChunkRecord& record) const {
-  size_t most_bytes = context_.state_limits.UsableValueBytes();
-  size_t small = record.assigned.size() * kMostAssignmentBytes + kRecordBytes;
+  size_t max_bytes = context_.state_limits.UsableValueBytes();
+  size_t small = record.assigned.size() * kMaxAssignmentBytes + kRecordBytes;
   bool few_ranges = record.done.iterative_size() <= kFewRanges;
-  if (few_ranges && small < most_bytes) return true;
-  return MostEntryBytes({job, chunk, record}) + kMostAssignmentBytes <=
-         most_bytes;
+  if (few_ranges && small < max_bytes) return true;
+  return MaxEntryBytes({job, chunk, record}) + kMaxAssignmentBytes <= max_bytes;
 }
 
 bool Partition::FitsSegment(const std::string& job, uint32_t chunk,
@@ -854,14 +860,14 @@
 }
 
 // Whether all of a gang can start now: none of it may still be running, and the
-// machines must have room for all of it together.
+// machines must have capacity for all of it together.
 bool Partition::GangFits(const Job& job,
                          const std::vector<Machine*>& open) const {
   const JobSpec& spec = job.spec();
   if (job.assigned > 0) return false;
   uint32_t left = spec.tasks - std::min(spec.tasks, job.done);
   const Team& team = context_.deployment.teams.at(spec.team);
-  Resources use = quota_.UseEverywhere(spec.team) + spec.need * left;
+  Resources use = quota_.UseEverywhere(spec.team) + spec.resources * left;
   if ((team.cpus_limit > 0 && use.cpus > team.cpus_limit) ||
       (team.gpus_limit > 0 && use.gpus > team.gpus_limit)) {
     return false;
@@ -870,7 +876,7 @@
   int64_t all = 0;
   for (const Machine* machine : open) {
     if (!Allowed(spec, *machine, {})) continue;
-    int64_t count = spec.need.CountIn(machine->Free(), left);
+    int64_t count = spec.resources.CountIn(machine->Free(), left);
     by_zone[machine->zone] += count;
     all += count;
   }
@@ -879,10 +885,10 @@
                      [&](const auto& zone) { return zone.second >= left; });
 }
 
-// Waiting work goes to partitions that have room for it. A chunk that has been
-// given on before waits longer before it is again: free processors elsewhere
-// may not be what it needs.
-void Partition::DraftMoves(Draft& draft, const Job& job) {
+// Waiting work goes to partitions that have capacity for it. A chunk that has
+// been given on before waits longer before it is again: free processors
+// elsewhere may not be what it needs.
+void Partition::DraftTransfers(Draft& draft, const Job& job) {
   if (context_.partition_count == 1 || draft.others() >= draft_limit_) return;
   bool whole = job.spec().shape == Shape::kGang;
   if (whole && job.assigned > 0) return;
@@ -904,19 +910,20 @@
     }
     uint32_t tasks = job.chunk_end(n) - job.chunk_begin(n);
     if (done >= tasks || draft.chunks.contains({job.spec().id, n})) continue;
-    Duration patience =
-        context_.tuning.claim_delay * (1 << std::min(owners[n].epoch, 6u));
-    if (now - since < patience) continue;
+    Duration delay =
+        context_.tuning.transfer_delay * (1 << std::min(owners[n].epoch, 6u));
+    if (now - since < delay) continue;
     const JobSpec& spec = job.spec();
     // What keeps it waiting may be more than the number of processors, such as
     // the zone: then one partition after the other is tried.
     auto [best, most] =
         owners[n].epoch < 2
-            ? context_.room.Roomiest(spec, number_, number_, now)
-            : context_.room.NextWithRoom(spec, number_, now);
+            ? context_.capacity_table.MostFreeCapacity(spec, number_, number_,
+                                                       now)
+            : context_.capacity_table.NextWithCapacity(spec, number_, now);
     uint32_t waiting = whole ? spec.tasks : tasks - done;
     if (most < (spec.shape == Shape::kGang ? waiting : 1)) break;
-    context_.room.Deal(best, spec, waiting);
+    context_.capacity_table.Reserve(best, spec, waiting);
     for (uint32_t m = whole ? 0 : n; m < (whole ? chunks : n + 1); ++m) {
       owners[m] = {best, owners[m].epoch + 1};
     }
@@ -925,7 +932,7 @@
   if (owners == before) return;
   JobRecord moved = job.record;
   moved.owners = owners;
-  if (FitsValue(moved)) draft.moves[job.spec().id] = std::move(owners);
+  if (FitsValue(moved)) draft.transfers[job.spec().id] = std::move(owners);
 }
 
 void Partition::Preempt(const std::vector<const Job*>& jobs) {
@@ -963,7 +970,7 @@
   widest_ = 0;
   for (const Job* job : jobs) {
     if (job->waiting() > 0) {
-      widest_ = std::max(widest_, job->spec().need.cpus);
+      widest_ = std::max(widest_, job->spec().resources.cpus);
     }
   }
   std::map<std::string, SteadyTime> waiting;
@@ -992,7 +999,7 @@
     }
     uint32_t starts_before = draft.starts;
     if (spec.shape == Shape::kGang && !GangFits(*job, open)) {
-      DraftMoves(draft, *job);
+      DraftTransfers(draft, *job);
       continue;
     }
     Placed placed = Placed::kAll;
@@ -1002,23 +1009,23 @@
       if (placed != Placed::kAll) break;
     }
     // A team's limit is the same everywhere.
-    if (placed == Placed::kNoMachine) DraftMoves(draft, *job);
+    if (placed == Placed::kNoMachine) DraftTransfers(draft, *job);
     int64_t still =
         static_cast<int64_t>(job->waiting()) - (draft.starts - starts_before);
-    bool displaces = spec.shape == Shape::kService &&
-                     placed == Placed::kNoMachine &&
-                     !draft.moves.contains(spec.id) && !MayMoveSoon(*job);
-    if (displaces) displacer_.MakeRoom(spec, use, open, still);
+    bool displaces =
+        spec.shape == Shape::kService && placed == Placed::kNoMachine &&
+        !draft.transfers.contains(spec.id) && !MayTransferSoon(*job);
+    if (displaces) displacer_.DisplaceFor(spec, use, open, still);
     int priority = AgedPriority(*job, context_.out.now().wall);
     if (still > 0) {
-      quota_.Reserve({spec.team, priority}, spec.need * still);
+      quota_.Reserve({spec.team, priority}, spec.resources * still);
     }
   }
   waiting_since_ = std::move(waiting);
 }
 
-// Whether a replica should rather wait a moment for room on a machine with its
-// image than start on `machine`, which would have to fetch it first.
+// Whether a replica should rather wait a moment for capacity on a machine with
+// its image than start on `machine`, which would have to fetch it first.
 bool Partition::AwaitsImage(const Job& job, const Machine& machine,
                             const ZoneUse& use,
                             const std::vector<Machine*>& open) {
@@ -1028,21 +1035,23 @@
   }
   auto since = waiting_since_.find(spec.id);
   if (since == waiting_since_.end() ||
-      context_.now() - since->second > kWaitForImage) {
+      context_.now() - since->second > kImageWait) {
     return false;
   }
-  return displacer_.MakeRoomWithImage(spec, use, open);
+  return displacer_.DisplaceOnMachineWithImage(spec, use, open);
 }
 
-// Whether another partition has room, so that the job's waiting chunks are
+// Whether another partition has capacity, so that the job's waiting chunks are
 // likely to be given to it next.
-bool Partition::MayMoveSoon(const Job& job) const {
+bool Partition::MayTransferSoon(const Job& job) const {
   auto since = waiting_since_.find(job.spec().id);
   bool waits_long = since != waiting_since_.end() &&
-                    context_.now() - since->second > kWaitForMove;
+                    context_.now() - since->second > kTransferWait;
   SteadyTime now = context_.now();
   return !waits_long &&
-         context_.room.Roomiest(job.spec(), number_, number_, now).second > 0;
+         context_.capacity_table
+                 .MostFreeCapacity(job.spec(), number_, number_, now)
+                 .second > 0;
 }
 
 void Partition::DraftLoad(Draft& draft) {
@@ -1051,9 +1060,9 @@
   if (period <= reported_period_ || draft.others() >= draft_limit_) return;
   LoadRecord load;
   load.period = period;
-  size_t most_bytes = context_.state_limits.UsableValueBytes();
+  size_t max_bytes = context_.state_limits.UsableValueBytes();
   load.failing = failures_.FailingJobs(
-      (most_bytes - std::min(most_bytes, kRecordBytes)) / kFailingJobBytes);
+      (max_bytes - std::min(max_bytes, kRecordBytes)) / kFailingJobBytes);
   Demand demand =
       MeasureDemand(context_.state_cache, context_.deployment,
                     {load.failing.begin(), load.failing.end()},
@@ -1066,7 +1075,7 @@
   draft.load = std::move(load);
 }
 
-// What the partition's room is used for, in processors.
+// What the partition's capacity is used for, in processors.
 void Partition::LogLoad(const LoadRecord& load) const {
   int64_t total = 0;
   int64_t draining = 0;
@@ -1078,7 +1087,7 @@
     total += machine.capacity.cpus;
     if (!machine.TakesTasks(context_.now())) draining += machine.Free().cpus;
     for (const auto& [key, task] : machine.bound) {
-      int64_t cpus = task.job->spec().need.cpus;
+      int64_t cpus = task.job->spec().resources.cpus;
       (!task.state                           ? starting
        : *task.state == TaskState::kFetching ? fetching
        : *task.state == TaskState::kRunning  ? running
@@ -1113,7 +1122,7 @@
   txn.conditions.push_back(
       {keys::WriteFence(number_, fencing_token_), write_fence_});
   // A start must not be stored after a cancellation, nor in a chunk that has
-  // been given away.
+  // been transferred.
   std::map<std::string, uint64_t> jobs;
   for (const Job* job : draft.starting)
     jobs[job->spec().id] = job->mod_revision;
@@ -1125,7 +1134,7 @@
     size_t size = RecordBytes(record);
     put(keys::Job(id), std::move(record), size);
   }
-  for (const auto& [id, owners] : draft.moves) {
+  for (const auto& [id, owners] : draft.transfers) {
     const Job* job = context_.state_cache.FindJob(id);
     jobs[id] = job->mod_revision;
     JobRecord record = job->record;
@@ -1133,8 +1142,8 @@
     size_t size = RecordBytes(record);
     put(keys::Job(id), std::move(record), size);
   }
-  for (const Job* job : draft.serialised) {
-    if (draft.moves.contains(job->spec().id)) continue;
+  for (const Job* job : draft.ordered_starts) {
+    if (draft.transfers.contains(job->spec().id)) continue;
     put(keys::Job(job->spec().id), job->record, RecordBytes(job->record));
   }
   for (const auto& [id, mod_revision] : jobs) {
@@ -1192,8 +1201,8 @@
   DraftFinishedJobs(draft);
   DraftLoad(draft);
   DraftStarts(draft, jobs);
-  quota_.GiveBack(draft.teams,
-                  draft_limit_ - std::min(draft_limit_, draft.others()));
+  quota_.ReleaseUnused(draft.teams,
+                       draft_limit_ - std::min(draft_limit_, draft.others()));
   return draft;
 }
 
@@ -1204,28 +1213,28 @@
   // changes. While there is none the plan is due at every step, so that it is
   // this partition's turn as soon as there is one.
   double tokens = context_.writes.Available(now);
-  short_of_tokens_ = tokens < 1;
-  if (short_of_tokens_) {
-    dirty_ = true;
+  short_of_write_tokens_ = tokens < 1;
+  if (short_of_write_tokens_) {
+    schedule_needed_ = true;
     return;
   }
   next_schedule_ = now + kScheduleInterval;
-  dirty_ = false;
+  schedule_needed_ = false;
   ForgetPlanned();
   size_t ops = context_.state_limits.Operations();
   draft_limit_ = std::min<size_t>(static_cast<size_t>(tokens) + 1, ops / 2);
-  most_starting_ = 3 * ops - std::min<size_t>(3 * ops, 2);
-  if (refused_) draft_limit_ = most_starting_ = 1;
+  max_starting_ = 3 * ops - std::min<size_t>(3 * ops, 2);
+  if (last_write_refused_) draft_limit_ = max_starting_ = 1;
   std::vector<const Job*> jobs = OrderJobs(
       context_.state_cache, context_.out.now().wall, context_.deployment);
   quota_.CountEverywhere();
   Preempt(jobs);
   Draft draft = MakeDraft(jobs);
   std::optional<Transaction> txn = MakeTransaction(draft);
-  // Ends free room and are the last to be left out, but there may be more of
-  // them than one transaction takes: then half as many, until they fit.
-  while (!txn && most_chunks_ > 1 && !draft.chunks.empty()) {
-    most_chunks_ = std::min(most_chunks_, draft.chunks.size() + 1) / 2;
+  // Ends free capacity and are the last to be left out, but there may be more
+  // of them than one transaction takes: then half as many, until they fit.
+  while (!txn && max_chunks_ > 1 && !draft.chunks.empty()) {
+    max_chunks_ = std::min(max_chunks_, draft.chunks.size() + 1) / 2;
     draft = MakeDraft(jobs);
     txn = MakeTransaction(draft);
   }
@@ -1234,7 +1243,7 @@
     return;
   }
   if (!txn) {
-    dirty_ = true;
+    schedule_needed_ = true;
     context_.out.Log(LogLevel::kError,
                      "event=segments_full partition={} bytes={}", number_,
                      context_.state_cache.LiveBytes(number_));
@@ -1255,7 +1264,7 @@
       "event=store partition={} chunks={} starts={} teams={} done={} moves={} "
       "puts={} tokens={:.1f}",
       number_, draft.chunks.size(), draft.starts, draft.teams.size(),
-      draft.done_jobs.size(), draft.moves.size(), txn.writes.size(),
+      draft.done_jobs.size(), draft.transfers.size(), txn.writes.size(),
       context_.writes.Available(now));
   auto handler = [this, draft = std::move(draft), txn, now,
                   alive = std::weak_ptr<int>(alive_)](const StateReply& reply) {
@@ -1268,15 +1277,15 @@
 void Partition::OnStored(const Draft& draft, const Transaction& txn,
                          SteadyTime started, const StateReply& reply) {
   storing_ = false;
-  dirty_ = true;
+  schedule_needed_ = true;
   SteadyTime now = context_.now();
   for (auto& [name, machine] : machines_) machine.planned = {};
   quota_.ForgetPlanned();
-  refused_ = reply.status == 400;
-  if (refused_) {
+  last_write_refused_ = reply.status == 400;
+  if (last_write_refused_) {
     // Larger than the service takes, by a limit that is not known here: what is
     // decided next is little, so that at least something gets through.
-    most_chunks_ = std::max<size_t>(1, draft.chunks.size() / 2);
+    max_chunks_ = std::max<size_t>(1, draft.chunks.size() / 2);
     context_.state_limits.OnRefused();
     for (const Write& write : txn.writes) {
       context_.out.Log(LogLevel::kError,
@@ -1293,11 +1302,11 @@
     for (const Write& write : txn.writes) {
       context_.state_cache.Apply({write.key, write.value, reply.revision});
     }
-    Remember(draft);
+    RecordOutcomes(draft);
     context_.state_limits.OnAccepted();
     // As many as fit again, by and by.
-    most_chunks_ =
-        draft.chunks.size() < most_chunks_ ? kAnyNumber : 2 * most_chunks_;
+    max_chunks_ =
+        draft.chunks.size() < max_chunks_ ? kAnyNumber : 2 * max_chunks_;
     AnswerHeartbeats(started);
     return;
   }
@@ -1327,7 +1336,7 @@
 }
 
 // A write got no answer. Reading shows whether it has been carried out, but not
-// that it never will be: a late copy would add starts to room and allotments
+// that it never will be: a late copy would add starts to room and quota shares
 // that have been given to others by then. Every write depends on the write
 // fence, so once that has changed no earlier one can come through.
 void Partition::AdvanceWriteFence() {
@@ -1361,7 +1370,7 @@
       });
 }
 
-void Partition::Remember(const Draft& draft) {
+void Partition::RecordOutcomes(const Draft& draft) {
   SteadyTime now = context_.now();
   if (draft.load) {
     LogLoad(*draft.load);
@@ -1376,7 +1385,7 @@
       Quarantine(at_fault);
     }
   }
-  for (const auto& [name, job] : draft.failures) RememberFailure(name, job);
+  for (const auto& [name, job] : draft.failures) RecordFailure(name, job);
   for (const auto& [name, job] : draft.ended_replicas) {
     failures_.RecordReplicaEnd(name, job, now);
   }
@@ -1391,8 +1400,8 @@
   }
 }
 
-void Partition::RememberFailure(const std::string& machine,
-                                const std::string& job) {
+void Partition::RecordFailure(const std::string& machine,
+                              const std::string& job) {
   const Job* known = context_.state_cache.FindJob(job);
   bool job_succeeds =
       known != nullptr && (known->done > 0 || proven_services_.contains(job));
@@ -1406,18 +1415,18 @@
   if (failure.machine_at_fault) Quarantine(machine);
 }
 
-// A sick machine fails whatever it starts: it is emptied and returned.
+// A faulty machine fails whatever it starts: it is emptied and returned.
 void Partition::Quarantine(const std::string& name) {
   auto found = machines_.find(name);
-  if (found == machines_.end() || found->second.sick) return;
-  found->second.sick = true;
+  if (found == machines_.end() || found->second.quarantined) return;
+  found->second.quarantined = true;
   context_.out.Log(LogLevel::kWarning,
                    "event=quarantine machine={} errors={} jobs={}", name,
                    failures_.ErrorsOn(name), failures_.FailedJobsOn(name));
 }
 
-FreeRoom Partition::Free() const {
-  FreeRoom free;
+FreeCapacity Partition::Free() const {
+  FreeCapacity free;
   for (const auto& [name, machine] : machines_) {
     if (machine.TakesTasks(context_.now())) {
       free.AddMachine(machine.Free().cpus, machine.spot);
--- a/src/core/partition.h
+++ b/src/core/partition.h
@@ -49,7 +49,7 @@
   uint32_t number() const { return number_; }
   uint64_t fencing_token() const { return fencing_token_; }
   const std::map<std::string, Machine>& machines() const { return machines_; }
-  FreeRoom Free() const;
+  FreeCapacity Free() const;
   // Since when no worker has been heard; owners that their workers cannot
   // reach give the partition away.
   SteadyTime last_heard() const { return last_heard_; }
@@ -71,9 +71,9 @@
     // Those of them whose tasks' places depend on what other partitions start:
     // the job's record is written anew, so that of two such starts that do not
     // know of each other the second fails.
-    std::set<const Job*, OrderById> serialised;
+    std::set<const Job*, OrderById> ordered_starts;
     // New owners of these jobs' chunks.
-    std::map<std::string, std::vector<ChunkOwner>> moves;
+    std::map<std::string, std::vector<ChunkOwner>> transfers;
     std::map<std::string, TeamRecord> teams;
     std::set<std::string> done_jobs;
     std::optional<LoadRecord> load;
@@ -86,20 +86,20 @@
     uint32_t starts = 0;
     // Puts beside those of the segments.
     size_t others() const {
-      return teams.size() + done_jobs.size() + moves.size() +
-             serialised.size() + (load ? 1 : 0);
+      return teams.size() + done_jobs.size() + transfers.size() +
+             ordered_starts.size() + (load ? 1 : 0);
     }
     bool empty() const { return chunks.empty() && others() == 0; }
   };
 
   // How many puts the next transaction may have beside one segment.
   size_t draft_limit_ = 0;
-  size_t most_starting_ = 0;  // jobs whose tasks it may start
-  int64_t widest_ = 0;        // processors of the largest task that waits
+  size_t max_starting_ = 0;  // jobs whose tasks it may start
+  int64_t widest_ = 0;       // processors of the largest task that waits
   // Chunks that it may change. Thousands of tasks may end at one moment, more
   // than a transaction takes: the rest is left to the next.
-  size_t most_chunks_ = kAnyNumber;
-  bool refused_ = false;  // the last one was too large
+  size_t max_chunks_ = kAnyNumber;
+  bool last_write_refused_ = false;  // the last one was too large
 
   Machine& GetMachine(const std::string& name);
   // Whether the heartbeat is an old copy that says nothing about the machine
@@ -107,9 +107,9 @@
   bool IsStale(const WorkerHeartbeat& heartbeat) const;
   void UpdateMachine(Machine& machine);
   // What a newer heartbeat says about whether the machine hears answers.
-  void WeighHearing(Machine& machine,
-                    const std::optional<WorkerHeartbeat>& before);
-  bool Deaf(const Machine& machine) const;
+  void UpdateInboundReachability(Machine& machine,
+                                 const std::optional<WorkerHeartbeat>& before);
+  bool InboundUnreachable(const Machine& machine) const;
   bool Wanted(const BoundAttempt& task) const;
   void LogReplicaUp(const Machine& machine,
                     const std::pair<const TaskKey, BoundAttempt>& entry) const;
@@ -126,9 +126,9 @@
                  const std::vector<WorkerCommand>& stops,
                  const WorkerReply& reply);
   void CheckMachines();
-  void MoveSavable(Machine& machine);
-  void MoveReplicas(Machine& machine);
-  bool HasPlaceBeside(const Machine& machine, const JobSpec& spec) const;
+  void DrainCheckpointed(Machine& machine);
+  void DrainReplicas(Machine& machine);
+  bool HasCapacityElsewhere(const Machine& machine, const JobSpec& spec) const;
   void DeleteMachines();
 
   void ReconcileMachines();
@@ -151,26 +151,26 @@
   EndsByChunk FindEnds();
   ChunkRecord RecordAfter(const std::vector<TaskEnd>& ends,
                           uint32_t chunk) const;
-  void NoteEnd(Draft& draft, const Job& job, const TaskEnd& end);
-  Draft::ChunkChange& Touch(Draft& draft, const Job& job, uint32_t chunk);
-  bool MayTouch(const Draft& draft, const Job& job, uint32_t chunk) const;
+  void RecordEnd(Draft& draft, const Job& job, const TaskEnd& end);
+  Draft::ChunkChange& ChangeOf(Draft& draft, const Job& job, uint32_t chunk);
+  bool MayChange(const Draft& draft, const Job& job, uint32_t chunk) const;
   void DraftEnds(Draft& draft);
   void DraftFinishedJobs(Draft& draft);
   void DraftStarts(Draft& draft, const std::vector<const Job*>& jobs);
   void Preempt(const std::vector<const Job*>& jobs);
   bool AwaitsImage(const Job& job, const Machine& machine, const ZoneUse& use,
                    const std::vector<Machine*>& open);
-  bool MayMoveSoon(const Job& job) const;
+  bool MayTransferSoon(const Job& job) const;
   bool GangFits(const Job& job, const std::vector<Machine*>& open) const;
   bool Owns(const Job& job, uint32_t chunk) const {
     return job.owner_of(chunk, context_.partition_count).partition == number_;
   }
   // Whether a start of the job's tasks must not pass by another partition's.
-  bool Serialised(const Job& job) const {
+  bool NeedsOrderedStarts(const Job& job) const {
     return job.constrained() && job.shared(context_.partition_count);
   }
-  // Gives chunks that wait here for room to partitions that have some.
-  void DraftMoves(Draft& draft, const Job& job);
+  // Gives chunks that wait here for capacity to partitions that have some.
+  void DraftTransfers(Draft& draft, const Job& job);
   enum class Placed : uint8_t { kAll, kNoMachine, kNoQuota };
   Placed StartsInChunk(Draft& draft, const Job& job, uint32_t chunk,
                        ZoneUse& use, const std::vector<Machine*>& open);
@@ -179,18 +179,18 @@
                    const ChunkRecord& record) const;
   bool FitsWithOneMore(const std::string& job, uint32_t chunk,
                        const ChunkRecord& record) const;
-  // None if the partition's segments have no room for so much at once.
+  // None if the partition's segments have no capacity for so much at once.
   std::optional<Transaction> MakeTransaction(const Draft& draft) const;
   void Store(Draft draft, Transaction txn);
   void OnStored(const Draft& draft, const Transaction& txn, SteadyTime started,
                 const StateReply& reply);
 
-  void Remember(const Draft& draft);
-  void RememberFailure(const std::string& machine, const std::string& job);
+  void RecordOutcomes(const Draft& draft);
+  void RecordFailure(const std::string& machine, const std::string& job);
   void Quarantine(const std::string& name);
 
   Context& context_;
-  // Replies that come after this partition was given away find it expired.
+  // Replies that come after this partition was transferred find it expired.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   const uint32_t number_;
   const uint64_t fencing_token_;
@@ -221,8 +221,9 @@
       0;  // modification revision of this ownership's write fence key
   bool outcome_unknown_ = false;
   bool storing_ = false;
-  bool short_of_tokens_ = false;  // for the transaction to be planned next
-  bool dirty_ = true;
+  bool short_of_write_tokens_ =
+      false;  // for the transaction to be planned next
+  bool schedule_needed_ = true;
   SteadyTime next_schedule_{};
   SteadyTime next_reconcile_{};
   bool deleting_ = false;
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -38,7 +38,7 @@
   double left = spec.tasks - std::min(spec.tasks, job.done + job.assigned) +
                 kLeftOfRunning * job.assigned;
   planned.work =
-      left * static_cast<double>(spec.need.cpus) / Resources::kUnit * run;
+      left * static_cast<double>(spec.resources.cpus) / Resources::kUnit * run;
   double age = ToSeconds(now - job.record.submitted);
   auto consider = [&](Duration within) {
     double rest = ToSeconds(within) - age;
@@ -103,7 +103,7 @@
   for (const Planned& planned : jobs) {
     const JobSpec& spec = planned.job->spec();
     if (spec.shape != Shape::kService) continue;
-    bound += static_cast<double>(spec.need.cpus) * planned.job->assigned /
+    bound += static_cast<double>(spec.resources.cpus) * planned.job->assigned /
              Resources::kUnit;
   }
   return bound;
@@ -114,7 +114,7 @@
 double ClusterSpeed(const StateCache& state_cache) {
   double speed = 1;
   for (const auto& [id, job] : state_cache.open_jobs()) {
-    speed += static_cast<double>(job->spec().need.cpus) * job->assigned /
+    speed += static_cast<double>(job->spec().resources.cpus) * job->assigned /
              Resources::kUnit;
   }
   if (state_cache.sizing() && state_cache.types() &&
@@ -188,7 +188,8 @@
     int64_t used = 0;
     for (size_t i = first; i < ranked.size(); ++i) {
       auto& [rank, job] = ranked[i];
-      used += job->spec().need.cpus * static_cast<int64_t>(job->spec().tasks);
+      used +=
+          job->spec().resources.cpus * static_cast<int64_t>(job->spec().tasks);
       if (std::get<0>(rank) != 0)
         std::get<0>(rank) = used <= guaranteed ? 1 : 2;
     }
@@ -222,7 +223,7 @@
   Score best_score;
   for (Machine* machine : machines) {
     Resources free = machine->Free();
-    if (!spec.need.FitsIn(free) || avoid.contains(machine->name)) continue;
+    if (!spec.resources.FitsIn(free) || avoid.contains(machine->name)) continue;
     if (!Allowed(spec, *machine, use)) continue;
     // Replicas of one service start on different machines at the same time:
     // an image that is only planned for is no nearer than none.
@@ -230,14 +231,15 @@
                           : machine->Coming(spec.image);
     int image = machine->images.contains(spec.image) ? 0 : coming ? 1 : 2;
     bool together = service && machine->HasTaskOf(spec.id);
-    int64_t tasks = image < 2 ? 0 : spec.need.CountIn(free, waiting);
+    int64_t tasks = image < 2 ? 0 : spec.resources.CountIn(free, waiting);
     // Seconds until its start, about, if that is what counts.
     int64_t delay =
         hurried ? (machine->until_heartbeat + image * kHalfFetch) / Millis(1000)
                 : 0;
     // Whether a slot for a larger task that waits is lost by it.
-    bool breaks = widest > spec.need.cpus &&
-                  (free.cpus - spec.need.cpus) / widest < free.cpus / widest;
+    bool breaks =
+        widest > spec.resources.cpus &&
+        (free.cpus - spec.resources.cpus) / widest < free.cpus / widest;
     Score score{delay,
                 image,
                 together ? 1 : 0,
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -27,10 +27,10 @@
 bool MustBegin(const Job& job, WallTime now);
 
 // The job's priority as far as the order goes; it rises as the job ages. Who
-// may make room for whom follows from the job's own priority alone.
+// may make capacity for whom follows from the job's own priority alone.
 int AgedPriority(const Job& job, WallTime now);
 
-// All open jobs in the order in which they should get room.
+// All open jobs in the order in which they should get capacity.
 //
 // Due times are those of the deadline and of the class's objectives. Under
 // overload not all can be met, and going by the earliest would make all a
@@ -52,15 +52,15 @@
 // where its other tasks are.
 bool Allowed(const JobSpec& spec, const Machine& machine, const ZoneUse& use);
 
-// The best machine with room for one task among `machines`, or null, when
+// The best machine with capacity for one task among `machines`, or null, when
 // `waiting` of them are to be placed. Machines that have the image come first,
 // then those that are to get it anyhow: a fetch is paid once for all tasks that
-// wait for it. Then cheap ones, then one with room for as many of them as can
-// be, for the same reason; then the fullest, so that dear and hardly used ones
-// run empty and can be returned. Machines in `avoid` are passed over. If it is
-// `hurried`, the machine where it starts soonest comes first. Tasks of up to
-// `widest` processors wait too: smaller ones rather go where none of them would
-// fit, or room for many would stand free in pieces.
+// wait for it. Then cheap ones, then one with capacity for as many of them as
+// can be, for the same reason; then the fullest, so that dear and hardly used
+// ones run empty and can be returned. Machines in `avoid` are passed over. If
+// it is `hurried`, the machine where it starts soonest comes first. Tasks of up
+// to `widest` processors wait too: smaller ones rather go where none of them
+// would fit, or capacity for many would stand free in pieces.
 Machine* ChooseMachine(const JobSpec& spec, uint32_t waiting,
                        const ZoneUse& use,
                        const std::vector<Machine*>& machines,
--- a/src/core/preemption.cc
+++ b/src/core/preemption.cc
@@ -24,8 +24,8 @@
 };
 
 // Whether the job had to wait so long to begin that it went before all others,
-// and none of its tasks has completed since. Such a job makes no room: it would
-// be started again at once.
+// and none of its tasks has completed since. Such a job makes no capacity: it
+// would be started again at once.
 bool HasRecentlyBegunLate(const Job& job, WallTime now) {
   return job.done == 0 && now - job.record.submitted >= kMustBegin;
 }
@@ -68,10 +68,11 @@
     const JobSpec& spec = job->spec();
     if (spec.team != team) continue;
     for (int64_t left = job->waiting(); left > 0; --left) {
-      while (!(used + spec.need).FitsIn(limit) && next < candidates.size() &&
+      while (!(used + spec.resources).FitsIn(limit) &&
+             next < candidates.size() &&
              candidates[next].priority < static_cast<int>(spec.priority)) {
         const Candidate& chosen = candidates[next++];
-        used -= chosen.job->spec().need;
+        used -= chosen.job->spec().resources;
         victims[{chosen.job->spec().id, chosen.assignment.task,
                  chosen.assignment.attempt}] =
             deployment.StartsWithin(spec.job_class,
@@ -79,8 +80,8 @@
                 ? StopKind::kAtOnce
                 : StopKind::kSave;
       }
-      if (!(used + spec.need).FitsIn(limit)) break;
-      used += spec.need;
+      if (!(used + spec.resources).FitsIn(limit)) break;
+      used += spec.resources;
     }
   }
 }
@@ -93,7 +94,7 @@
   std::map<std::string, Resources> used;
   for (const auto& [id, job] : state_cache.open_jobs()) {
     used[job->spec().team] +=
-        job->spec().need * static_cast<int64_t>(job->assigned);
+        job->spec().resources * static_cast<int64_t>(job->assigned);
   }
   std::map<Victim, StopKind> victims;
   for (const auto& [name, use] : used) {
--- a/src/core/preemption.h
+++ b/src/core/preemption.h
@@ -1,4 +1,5 @@
-// Which running tasks should make room for more important work of their team.
+// Which running tasks should make capacity for more important work of their
+// team.
 #ifndef PITCHFALL_CORE_PREEMPTION_H_
 #define PITCHFALL_CORE_PREEMPTION_H_
 
--- a/src/core/records.h
+++ b/src/core/records.h
@@ -46,7 +46,7 @@
   Shape shape = Shape::kArray;
   Priority priority = Priority::kNormal;
   uint32_t tasks = 0;
-  Resources need;
+  Resources resources;
   std::string image;
   double image_gb = 0;
   std::optional<std::vector<std::string>> types;  // none: any
@@ -68,7 +68,7 @@
 enum class JobState : uint8_t { kAccepted = 0, kDone, kCancelled };
 
 // The partition that runs a chunk. Only it starts the chunk's tasks, and only
-// it gives the chunk away, while nothing of it is bound to a machine.
+// it transfers the chunk, while nothing of it is bound to a machine.
 struct ChunkOwner {
   uint32_t partition = 0;
   uint32_t epoch = 0;
@@ -105,7 +105,7 @@
 // The tasks [n * chunk_size, (n + 1) * chunk_size) of a job. A chunk has no
 // record until the first of its tasks is assigned.
 struct ChunkRecord {
-  // How often the chunk had been given away when this was written.
+  // How often the chunk had been transferred when this was written.
   uint32_t epoch = 0;
   TaskSet done;
   std::vector<Assignment> assigned;
@@ -137,11 +137,11 @@
   std::string incarnation;
   // The owner before, if it gave the partition up because its workers could not
   // reach it: it should not get it back at once.
-  std::string shunned;
+  std::string unreachable_owner;
 };
 
-// A rental request, stored before it is sent.
-struct RentalRecord {
+// A instance request request, stored before it is sent.
+struct InstanceRequestRecord {
   std::string type;
   std::string zone;
   bool spot = false;
@@ -150,16 +150,16 @@
   std::vector<std::string> machines;  // once the cloud has answered
 };
 
-// How much of a limited team's room each partition may use. The sum stays
+// How much of a limited team's capacity each partition may use. The sum stays
 // within the team's limit; a partition gives back only what no task of its can
 // hold.
 struct TeamRecord {
-  struct Allotment {
+  struct QuotaShare {
     int64_t cpus = 0;
     int64_t gpus = 0;
-    friend bool operator==(const Allotment&, const Allotment&) = default;
+    friend bool operator==(const QuotaShare&, const QuotaShare&) = default;
   };
-  std::vector<Allotment> shares;
+  std::vector<QuotaShare> shares;
 };
 
 // Machines that the leader wants returned; the partitions' owners empty and
@@ -177,7 +177,7 @@
   // Of the tasks that started in this period.
   uint32_t started = 0;
   Duration waited{0};
-  // Jobs that fail on every machine; they ask for no room.
+  // Jobs that fail on every machine; they ask for no capacity.
   std::vector<std::string> failing;
 };
 
@@ -214,7 +214,7 @@
 };
 
 using Record = std::variant<JobRecord, SegmentRecord, NodeRecord,
-                            PartitionRecord, RentalRecord, TypesRecord,
+                            PartitionRecord, InstanceRequestRecord, TypesRecord,
                             TeamRecord, DrainRecord, LoadRecord, SizingRecord>;
 
 // Keys. Everything lies under one prefix, so that one watch sees it all in
@@ -225,7 +225,7 @@
 inline constexpr char kSegments[] = "pf/segments/";
 inline constexpr char kNodes[] = "pf/nodes/";
 inline constexpr char kPartitions[] = "pf/parts/";
-inline constexpr char kRentals[] = "pf/rentals/";
+inline constexpr char kInstanceRequests[] = "pf/rentals/";
 inline constexpr char kTeams[] = "pf/teams/";
 inline constexpr char kTypes[] = "pf/types";
 inline constexpr char kDrain[] = "pf/drain";
@@ -253,7 +253,9 @@
 inline std::string Load(uint32_t partition) {
   return kLoads + std::to_string(partition);
 }
-inline std::string Rental(const std::string& name) { return kRentals + name; }
+inline std::string InstanceRequest(const std::string& name) {
+  return kInstanceRequests + name;
+}
 }  // namespace keys
 
 }  // namespace pitchfall
--- a/src/core/resources.h
+++ b/src/core/resources.h
@@ -42,17 +42,18 @@
   }
   friend bool operator==(const Resources&, const Resources&) = default;
 
-  bool FitsIn(const Resources& room) const {
-    return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
+  bool FitsIn(const Resources& available) const {
+    return cpus <= available.cpus && gpus <= available.gpus &&
+           memory <= available.memory;
   }
-  // How many tasks of this need fit into `room`, at most `most`.
-  int64_t CountIn(const Resources& room, int64_t most) const {
+  // How many tasks of this need fit into `available`, at most `most`.
+  int64_t CountIn(const Resources& available, int64_t most) const {
     auto limit = [&](int64_t need, int64_t have) {
       if (need > 0) most = std::min(most, have < 0 ? 0 : have / need);
     };
-    limit(cpus, room.cpus);
-    limit(gpus, room.gpus);
-    limit(memory, room.memory);
+    limit(cpus, available.cpus);
+    limit(gpus, available.gpus);
+    limit(memory, available.memory);
     return std::max<int64_t>(most, 0);
   }
 };
--- a/src/core/segments.cc
+++ b/src/core/segments.cc
@@ -56,9 +56,9 @@
 
 // Entries of old slots that one transaction may move to new ones; more do not
 // fit into it anyhow.
-constexpr size_t kMostMovedEntries = 500;
+constexpr size_t kMaxMovedEntries = 500;
 
-// A ring has room for this many times what is in use in it.
+// A ring has capacity for this many times what is in use in it.
 constexpr size_t kSpareRing = 4;
 
 // How many slots the partition's ring has or should get. It never shrinks:
@@ -66,7 +66,7 @@
 uint32_t RingSlots(const StateCache& state_cache, uint32_t partition,
                    size_t value_bytes) {
   size_t wanted = kSpareRing * state_cache.LiveBytes(partition) / value_bytes;
-  wanted = std::clamp<size_t>(wanted, kLeastSlots, kMostSlots);
+  wanted = std::clamp<size_t>(wanted, kMinSlots, kMaxSlots);
   return std::max(static_cast<uint32_t>(wanted),
                   state_cache.SlotCount(partition));
 }
@@ -86,16 +86,17 @@
   return slots;
 }
 
-// Puts the entry into the first segment with room for it, or into a new one if
-// the limits allow.
+// Puts the entry into the first segment with capacity for it, or into a new one
+// if the limits allow.
 bool Place(const SegmentRecord::Entry& entry, const SegmentLimits& limits,
            std::vector<SegmentFiller>& fillers) {
   size_t total = 0;
   for (const SegmentFiller& filler : fillers) total += filler.size();
   for (SegmentFiller& filler : fillers) {
     size_t others = total - filler.size();
-    size_t room = limits.total_bytes - std::min(limits.total_bytes, others);
-    if (filler.Add(entry, room)) return true;
+    size_t available =
+        limits.total_bytes - std::min(limits.total_bytes, others);
+    if (filler.Add(entry, available)) return true;
   }
   if (fillers.size() >= limits.writes || total >= limits.total_bytes) {
     return false;
@@ -151,14 +152,14 @@
     const SegmentLimits& limits) {
   auto fillers = Fill(changed, limits);
   uint32_t end = state_cache.SlotCount(partition);
-  if (!fillers || end + limits.writes > kMostSlots) return std::nullopt;
+  if (!fillers || end + limits.writes > kMaxSlots) return std::nullopt;
   std::set<StateCache::ChunkKey> included;
   for (const auto& entry : changed) included.insert({entry.job, entry.chunk});
   std::vector<SegmentRecord::Entry> older;
   for (const auto& [mod_revision, slot] :
        SlotsByAge(state_cache, partition, end)) {
     AddLiveEntries(state_cache, partition, slot, included, older);
-    if (older.size() > kMostMovedEntries) break;
+    if (older.size() > kMaxMovedEntries) break;
   }
   for (const SegmentRecord::Entry& entry : older) {
     if (!Place(entry, limits, *fillers)) break;
@@ -195,17 +196,17 @@
   return cost;
 }
 
-bool SegmentFiller::Add(const SegmentRecord::Entry& entry, size_t most_bytes) {
+bool SegmentFiller::Add(const SegmentRecord::Entry& entry, size_t max_bytes) {
   std::set<std::pair<std::string, std::string>> machines;
   size_t cost = CostOf(entry, machines);
-  if (size_ + cost > std::min(limit_, most_bytes)) return false;
+  if (size_ + cost > std::min(limit_, max_bytes)) return false;
   size_ += cost;
   machines_.merge(machines);
   segment_.entries.push_back(entry);
   return true;
 }
 
-size_t MostEntryBytes(const SegmentRecord::Entry& entry) {
+size_t MaxEntryBytes(const SegmentRecord::Entry& entry) {
   SegmentFiller filler(SIZE_MAX);
   filler.Add(entry);
   // Each end may split a range of tasks on machines and begin a range of tasks
--- a/src/core/segments.h
+++ b/src/core/segments.h
@@ -36,8 +36,8 @@
 // A ring begins with so many slots. It grows with what it holds, so that little
 // of what is in use lies in the slot overwritten next: a ring that is full of
 // it takes nothing more, not even the end of a task.
-inline constexpr uint32_t kLeastSlots = 32;
-inline constexpr uint32_t kMostSlots = 4096;
+inline constexpr uint32_t kMinSlots = 32;
+inline constexpr uint32_t kMaxSlots = 4096;
 
 // Fills one segment up to a size, counted as the service counts it.
 class SegmentFiller {
@@ -45,8 +45,8 @@
   explicit SegmentFiller(size_t limit) : limit_(limit) {}
 
   // False, and nothing added, if the segment would exceed its limit or
-  // `most_bytes`.
-  bool Add(const SegmentRecord::Entry& entry, size_t most_bytes = SIZE_MAX);
+  // `max_bytes`.
+  bool Add(const SegmentRecord::Entry& entry, size_t max_bytes = SIZE_MAX);
 
   size_t size() const { return size_; }
   const SegmentRecord& segment() const { return segment_; }
@@ -64,7 +64,7 @@
 
 // The most bytes that the chunk's record can take in a segment while its tasks
 // end one by one, in the most unfavourable order, and none are started.
-size_t MostEntryBytes(const SegmentRecord::Entry& entry);
+size_t MaxEntryBytes(const SegmentRecord::Entry& entry);
 
 // The segments to write so that `changed` is stored and nothing is lost: which
 // slots of the partition's ring, and what goes into each. None if that takes
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -91,7 +91,7 @@
   uint32_t max_machines = 10000;
   uint32_t partition_count = 0;  // 0: as many as controllers
   uint32_t chunk_tasks = 8;
-  Duration claim_delay{Millis(300)};
+  Duration transfer_delay{Millis(300)};
   Duration handover_after{Millis(10000)};
   // Sizing.
   Duration period{Millis(10000)};
--- a/src/core/sizing/forecast.cc
+++ b/src/core/sizing/forecast.cc
@@ -41,7 +41,7 @@
 
 ArimaFit FitArima(std::span<const double> series) {
   ArimaFit fit;
-  if (series.size() < kLeastObservations) return fit;
+  if (series.size() < kMinObservations) return fit;
   auto [least, most] = std::minmax_element(series.begin(), series.end());
   if (*most - *least <= 1e-9 * std::max(1.0, std::abs(*most))) return fit;
 
--- a/src/core/sizing/forecast.h
+++ b/src/core/sizing/forecast.h
@@ -1,5 +1,5 @@
-// The forecast of requested room: ARIMA(2,1,1), fitted anew each period on a
-// sliding window.
+// The forecast of requested capacity: ARIMA(2,1,1), fitted anew each period on
+// a sliding window.
 #ifndef PITCHFALL_CORE_SIZING_FORECAST_H_
 #define PITCHFALL_CORE_SIZING_FORECAST_H_
 
@@ -20,7 +20,7 @@
 };
 
 // Observations that a fit needs at least.
-inline constexpr size_t kLeastObservations = 16;
+inline constexpr size_t kMinObservations = 16;
 
 // Fits by two regressions (a long autoregression for the errors, then lags and
 // errors together). Not usable if the series is short, constant, or the result
--- a/src/core/sizing/target.cc
+++ b/src/core/sizing/target.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kFullest = 0.98;
-constexpr double kLeastSlope = 1e-3;
+constexpr double kMinSlope = 1e-3;
 
 double Load(double utilisation) {
   double u = std::clamp(utilisation, 0.0, kFullest);
@@ -38,21 +38,21 @@
   }
   if (sxx < 1e-6) return fallback;
   DelayCurve curve;
-  curve.slope = std::max(kLeastSlope, sxy / sxx);
+  curve.slope = std::max(kMinSlope, sxy / sxx);
   curve.base = std::max(0.0, mean_y - curve.slope * mean_x);
   return curve;
 }
 
 int Target(const TargetInputs& in) {
-  if (in.room <= 0) return 0;
-  double room = in.waiting * in.delay_price * in.curve.slope * in.room;
-  double target = in.room + std::sqrt(std::max(0.0, room / in.rent));
+  if (in.capacity <= 0) return 0;
+  double capacity = in.waiting * in.delay_price * in.curve.slope * in.capacity;
+  double target = in.capacity + std::sqrt(std::max(0.0, capacity / in.rent));
   // d(U) = bound at U = (bound - b) / (a + bound - b).
   double spare = in.delay_bound - in.curve.base;
   double utilisation = std::max(
       in.least_utilisation, spare <= 0 ? 0 : spare / (in.curve.slope + spare));
-  target = std::min({target, in.room / utilisation,
-                     in.room + in.most_spare * std::sqrt(in.room)});
+  target = std::min({target, in.capacity / utilisation,
+                     in.capacity + in.max_spare * std::sqrt(in.capacity)});
   // Whole machines, but not one more for a rounding error.
   return static_cast<int>(std::ceil(target - 1e-9));
 }
--- a/src/core/sizing/target.h
+++ b/src/core/sizing/target.h
@@ -27,7 +27,7 @@
 DelayCurve FitDelay(std::span<const DelayPoint> points, DelayCurve fallback);
 
 struct TargetInputs {
-  double room = 0;          // w
+  double capacity = 0;      // w
   double waiting = 0;       // N, admissible waiting tasks
   double delay_price = 0;   // p
   double rent = 1;          // c * E
@@ -37,7 +37,7 @@
   double least_utilisation = 0.8;
   // Nor for more than w and this times its square root: the more machines there
   // are, the smaller the share of them that must be free for some to be.
-  double most_spare = 1.1;
+  double max_spare = 1.1;
   DelayCurve curve;
 };
 
--- a/src/core/state_cache.cc
+++ b/src/core/state_cache.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // More than controllers tell each other of at once.
-constexpr size_t kMostCancellations = 1000;
+constexpr size_t kMaxCancellations = 1000;
 
 bool TakePrefix(std::string_view& key, std::string_view prefix) {
   if (!key.starts_with(prefix)) return false;
@@ -58,8 +58,8 @@
     ApplyTo(nodes_, std::string(rest), change);
   } else if (TakePrefix(rest, keys::kPartitions)) {
     ApplyTo(partitions_, std::string(rest), change);
-  } else if (TakePrefix(rest, keys::kRentals)) {
-    ApplyTo(rentals_, std::string(rest), change);
+  } else if (TakePrefix(rest, keys::kInstanceRequests)) {
+    ApplyTo(instance_requests_, std::string(rest), change);
   } else if (TakePrefix(rest, keys::kTeams)) {
     ApplyTo(teams_, std::string(rest), change);
   } else if (change.key == keys::kTypes) {
@@ -97,7 +97,7 @@
   slot->mod_revision = change.mod_revision;
   if (record->state == JobState::kCancelled) {
     cancellations_.insert({change.mod_revision, id});
-    if (cancellations_.size() > kMostCancellations) {
+    if (cancellations_.size() > kMaxCancellations) {
       cancellations_from_ = cancellations_.begin()->first;
       cancellations_.erase(cancellations_.begin());
     }
@@ -147,7 +147,7 @@
   }
 }
 
-// A chunk that has been given away is newer in the new owner's segments,
+// A chunk that has been transferred is newer in the new owner's segments,
 // whenever the old owner copies its last version forward.
 void StateCache::SetChunk(Job& job, uint32_t chunk, Job::Chunk version) {
   auto order = [](const Job::Chunk& c) {
--- a/src/core/state_cache.h
+++ b/src/core/state_cache.h
@@ -64,7 +64,9 @@
                                                          size_t most) const;
 
   const Table<NodeRecord>& nodes() const { return nodes_; }
-  const Table<RentalRecord>& rentals() const { return rentals_; }
+  const Table<InstanceRequestRecord>& instance_requests() const {
+    return instance_requests_;
+  }
   const Table<TeamRecord>& teams() const { return teams_; }
   const Versioned<PartitionRecord>* FindPartition(uint32_t partition) const;
   // One more than the highest number of a partition that ever had an owner.
@@ -125,7 +127,7 @@
   std::map<uint32_t, int64_t> live_bytes_;  // by partition
   Table<NodeRecord> nodes_;
   Table<PartitionRecord> partitions_;
-  Table<RentalRecord> rentals_;
+  Table<InstanceRequestRecord> instance_requests_;
   Table<TeamRecord> teams_;
   std::optional<Versioned<TypesRecord>> types_;
   std::optional<Versioned<DrainRecord>> drain_;
--- a/src/core/state_limits.h
+++ b/src/core/state_limits.h
@@ -24,19 +24,19 @@
 
   // The largest value, counted as the service's JSON.
   size_t ValueBytes() const {
-    return std::max(kLeastValueBytes, value_bytes_ >> reductions_);
+    return std::max(kMinValueBytes, value_bytes_ >> reductions_);
   }
   // The same less a reserve for what counting in advance may miss.
   size_t UsableValueBytes() const { return ValueBytes() * 9 / 10; }
   // Puts and deletes in one transaction.
   size_t Operations() const {
-    return std::max(kLeastOperations, operations_ >> reductions_);
+    return std::max(kMinOperations, operations_ >> reductions_);
   }
   bool Reduced() const { return reductions_ > 0; }
 
   // The service answered 400: the write was larger than it takes.
   void OnRefused() {
-    reductions_ = std::min(reductions_ + 1, kMostReductions);
+    reductions_ = std::min(reductions_ + 1, kMaxReductions);
     accepted_ = 0;
   }
   void OnAccepted() {
@@ -49,9 +49,9 @@
   static constexpr double kBytesInKb = 1024;
   // Below these a job's record or a transaction with its chunk cannot be
   // stored at all.
-  static constexpr size_t kLeastValueBytes = 768;
-  static constexpr size_t kLeastOperations = 2;
-  static constexpr unsigned kMostReductions = 4;
+  static constexpr size_t kMinValueBytes = 768;
+  static constexpr size_t kMinOperations = 2;
+  static constexpr unsigned kMaxReductions = 4;
   // So many writes pass before larger ones are tried again.
   static constexpr int kAcceptedBeforeIncrease = 200;
 
--- a/src/core/state_watcher.cc
+++ b/src/core/state_watcher.cc
@@ -9,7 +9,7 @@
   SteadyTime now = out_.now().steady;
   if (now < next_) return;
   bool wanted = read_requested_ || !waiting_.empty() || !loaded_;
-  if (!wanted && now - started_ < kIdleGap) return;
+  if (!wanted && now - started_ < kIdleInterval) return;
   if (!requests_.Take(now, 1)) return;
   reading_ = true;
   read_requested_ = false;
@@ -87,7 +87,7 @@
   SteadyTime now = out_.now().steady;
   reading_ = false;
   if (ok) current_as_of_ = started_;
-  next_ = now + (ok ? kBusyGap : kFailureGap);
+  next_ = now + (ok ? kBusyInterval : kFailureInterval);
   for (ReadCallback& waiter : std::exchange(served_, {})) waiter(ok);
 }
 
--- a/src/core/state_watcher.h
+++ b/src/core/state_watcher.h
@@ -43,9 +43,9 @@
 
  private:
   static constexpr Duration kFresh = Millis(2000);
-  static constexpr Duration kIdleGap = Millis(200);
-  static constexpr Duration kBusyGap = Millis(20);
-  static constexpr Duration kFailureGap = Millis(300);
+  static constexpr Duration kIdleInterval = Millis(200);
+  static constexpr Duration kBusyInterval = Millis(20);
+  static constexpr Duration kFailureInterval = Millis(300);
   // The change log must still hold what came after the first page.
   static constexpr Duration kMaxListingAge = Millis(30000);
 
--- a/src/core/team_quota.cc
+++ b/src/core/team_quota.cc
@@ -7,14 +7,14 @@
 namespace pitchfall {
 namespace {
 
-// How long an allotment goes unused before it is given back, and if another
+// How long an quota share goes unused before it is given back, and if another
 // partition may be waiting for it.
 constexpr Duration kRest = Millis(5000);
 constexpr Duration kShortRest = Millis(250);
 // Of a team's limit, for each partition.
 constexpr int kSteps = 8;
-// Smaller teams' allotments follow their use exactly.
-constexpr int64_t kLeastStep = 4 * Resources::kUnit;
+// Smaller teams' quota shares follow their use exactly.
+constexpr int64_t kMinStep = 4 * Resources::kUnit;
 
 int64_t RoundUp(int64_t amount, int64_t step) {
   return step <= 0 ? amount : (amount + step - 1) / step * step;
@@ -25,15 +25,15 @@
          (team.gpus_limit == 0 || use.gpus <= team.gpus_limit);
 }
 
-// Whether the allotments, and `more` beside them, stay within the limit.
+// Whether the quota shares, and `more` beside them, stay within the limit.
 bool WithinLimit(const Team& team, const TeamRecord& record,
-                 const TeamRecord::Allotment& more = {}) {
+                 const TeamRecord::QuotaShare& more = {}) {
   Resources sum;
   sum.cpus = more.cpus;
   sum.gpus = more.gpus;
-  for (const TeamRecord::Allotment& allotment : record.shares) {
-    sum.cpus += allotment.cpus;
-    sum.gpus += allotment.gpus;
+  for (const TeamRecord::QuotaShare& share : record.shares) {
+    sum.cpus += share.cpus;
+    sum.gpus += share.gpus;
   }
   return Within(team, sum);
 }
@@ -50,7 +50,8 @@
   everywhere_.clear();
   for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     const JobSpec& spec = job->spec();
-    everywhere_[spec.team] += spec.need * static_cast<int64_t>(job->assigned);
+    everywhere_[spec.team] +=
+        spec.resources * static_cast<int64_t>(job->assigned);
   }
 }
 
@@ -78,16 +79,16 @@
   return record;
 }
 
-TeamRecord::Allotment TeamQuota::StepOf(const Team& team) const {
+TeamRecord::QuotaShare TeamQuota::StepOf(const Team& team) const {
   auto step = [this](int64_t limit) {
     int64_t amount = limit / (int64_t{kSteps} * context_.partition_count);
-    return amount < kLeastStep ? 0 : amount;
+    return amount < kMinStep ? 0 : amount;
   };
   return {step(team.cpus_limit), step(team.gpus_limit)};
 }
 
 bool TeamQuota::Scarce(const Team& team, const TeamRecord& record) const {
-  const Allotment step = StepOf(team);
+  const QuotaShare step = StepOf(team);
   bool exact = step.cpus == 0 && step.gpus == 0;
   return exact || !WithinLimit(team, record, step);
 }
@@ -95,7 +96,7 @@
 bool TeamQuota::LeavesReserved(const Job& job, const Team& team) const {
   const JobSpec& spec = job.spec();
   int priority = AgedPriority(job, context_.out.now().wall);
-  Resources use = UseEverywhere(spec.team) + spec.need;
+  Resources use = UseEverywhere(spec.team) + spec.resources;
   for (auto it = reserved_.upper_bound({spec.team, priority});
        it != reserved_.end() && it->first.first == spec.team; ++it) {
     use += it->second;
@@ -103,7 +104,7 @@
   return Within(team, use);
 }
 
-bool TeamQuota::Allot(const Job& job, DraftedTeams& drafted, bool may_add) {
+bool TeamQuota::Acquire(const Job& job, DraftedTeams& drafted, bool may_add) {
   const JobSpec& spec = job.spec();
   auto found = context_.deployment.teams.find(spec.team);
   if (found == context_.deployment.teams.end()) return false;
@@ -111,14 +112,14 @@
   if (team.cpus_limit == 0 && team.gpus_limit == 0) return true;
   bool must_begin = MustBegin(job, context_.out.now().wall);
   if (!must_begin && !LeavesReserved(job, team)) return false;
-  const Resources use = UseHere(spec.team) + spec.need;
+  const Resources use = UseHere(spec.team) + spec.resources;
   TeamRecord record = RecordOf(drafted, spec.team);
-  Allotment& mine = record.shares[partition_];
+  QuotaShare& mine = record.shares[partition_];
   if (use.cpus <= mine.cpus && use.gpus <= mine.gpus) return true;
   // More than is needed now, as long as there is plenty: each change of the
   // record is a write.
-  const Allotment before = mine;
-  const Allotment step = StepOf(team);
+  const QuotaShare before = mine;
+  const QuotaShare step = StepOf(team);
   mine.cpus = std::max(before.cpus, RoundUp(use.cpus, step.cpus));
   mine.gpus = std::max(before.gpus, RoundUp(use.gpus, step.gpus));
   if (!WithinLimit(team, record)) {
@@ -131,24 +132,24 @@
   return true;
 }
 
-TeamRecord::Allotment TeamQuota::Kept(const Team& team,
-                                      const TeamRecord& record,
-                                      const Resources& use) const {
+TeamRecord::QuotaShare TeamQuota::Kept(const Team& team,
+                                       const TeamRecord& record,
+                                       const Resources& use) const {
   if (Scarce(team, record)) return {use.cpus, use.gpus};
-  const Allotment step = StepOf(team);
+  const QuotaShare step = StepOf(team);
   return {RoundUp(use.cpus, step.cpus) + step.cpus,
           RoundUp(use.gpus, step.gpus) + step.gpus};
 }
 
-void TeamQuota::GiveBack(DraftedTeams& drafted, size_t most_added) {
+void TeamQuota::ReleaseUnused(DraftedTeams& drafted, size_t max_added) {
   SteadyTime now = context_.now();
   for (const auto& [name, stored] : context_.state_cache.teams()) {
     auto team = context_.deployment.teams.find(name);
     if (team == context_.deployment.teams.end()) continue;
     if (stored.value.shares.size() <= partition_) continue;
     TeamRecord record = RecordOf(drafted, name);
-    const Allotment kept = Kept(team->second, record, UseHere(name));
-    Allotment& mine = record.shares[partition_];
+    const QuotaShare kept = Kept(team->second, record, UseHere(name));
+    QuotaShare& mine = record.shares[partition_];
     if (mine.cpus <= kept.cpus && mine.gpus <= kept.gpus) {
       unused_since_.erase(name);
       continue;
@@ -160,8 +161,8 @@
                   waiting->first.first == name;
     if (now - since < (needed ? kShortRest : kRest)) continue;
     if (!drafted.contains(name)) {
-      if (most_added == 0) return;
-      --most_added;
+      if (max_added == 0) return;
+      --max_added;
     }
     mine.cpus = std::min(mine.cpus, kept.cpus);
     mine.gpus = std::min(mine.gpus, kept.gpus);
--- a/src/core/team_quota.h
+++ b/src/core/team_quota.h
@@ -1,9 +1,9 @@
 // Keeps the tasks of limited teams within their limits.
 //
-// How much of a team's limit a partition may use is its allotment, stored in
-// the team's record; the sum of all allotments stays within the limit. A
-// partition raises its allotment in the transaction that starts the tasks, and
-// gives back only what no task of its can hold.
+// How much of a team's limit a partition may use is its quota share, stored in
+// the team's record; the sum of all quota shares stays within the limit. A
+// partition raises its quota share in the transaction that starts the tasks,
+// and gives back only what no task of its can hold.
 #ifndef PITCHFALL_CORE_TEAM_QUOTA_H_
 #define PITCHFALL_CORE_TEAM_QUOTA_H_
 
@@ -53,25 +53,25 @@
   }
 
   // Whether one more task of the job may start. Raises the partition's
-  // allotment in `drafted` if that is needed; `may_add` tells whether another
+  // quota share in `drafted` if that is needed; `may_add` tells whether another
   // record fits into the transaction.
-  bool Allot(const Job& job, DraftedTeams& drafted, bool may_add);
-  // Lowers allotments that have not been used for a while, adding `most_added`
+  bool Acquire(const Job& job, DraftedTeams& drafted, bool may_add);
+  // Lowers quota shares that have not been used for a while, adding `max_added`
   // records at the most.
-  void GiveBack(DraftedTeams& drafted, size_t most_added);
+  void ReleaseUnused(DraftedTeams& drafted, size_t max_added);
 
  private:
-  using Allotment = TeamRecord::Allotment;
+  using QuotaShare = TeamRecord::QuotaShare;
 
   // The record as drafted, or else as stored.
   TeamRecord RecordOf(const DraftedTeams& drafted,
                       const std::string& team) const;
-  // By how much allotments change while there is plenty.
-  Allotment StepOf(const Team& team) const;
+  // By how much quota shares change while there is plenty.
+  QuotaShare StepOf(const Team& team) const;
   bool LeavesReserved(const Job& job, const Team& team) const;
-  // How much of its allotment the partition should keep.
-  Allotment Kept(const Team& team, const TeamRecord& record,
-                 const Resources& use) const;
+  // How much of its quota share the partition should keep.
+  QuotaShare Kept(const Team& team, const TeamRecord& record,
+                  const Resources& use) const;
   bool Scarce(const Team& team, const TeamRecord& record) const;
   Resources UseHere(const std::string& team) const;
 
--- a/src/core/users.cc
+++ b/src/core/users.cc
@@ -19,9 +19,9 @@
 // Starts and results come first, but they use up whatever there is. After so
 // long a submission takes a token that the next of them will have to
 // wait for.
-constexpr Duration kPatience = Millis(40);
+constexpr Duration kSubmissionPatience = Millis(40);
 constexpr double kSubmissionDebt = 2;
-constexpr Duration kStoreGap = Millis(15);
+constexpr Duration kStoreInterval = Millis(15);
 // Standing jobs wait until the last controller has been upgraded.
 constexpr Duration kUpgradeRetry = Millis(2000);
 
@@ -185,40 +185,42 @@
   JobRecord record;
   record.spec = spec;
   record.submitted = context_.out.now().wall;
-  record.chunk_size = std::max((spec.tasks + kMostChunks - 1) / kMostChunks,
+  record.chunk_size = std::max((spec.tasks + kMaxChunks - 1) / kMaxChunks,
                                context_.tuning.chunk_tasks);
-  // A gang starts as one: one partition has to find room for all of it.
+  // A gang starts as one: one partition has to find capacity for all of it.
   if (spec.shape == Shape::kGang) record.chunk_size = spec.tasks;
   // Each replica by itself, so that one that is lost can go to whichever
-  // partition has room while the others run.
+  // partition has capacity while the others run.
   if (spec.shape == Shape::kService) {
-    record.chunk_size = (spec.tasks + kMostChunks - 1) / kMostChunks;
+    record.chunk_size = (spec.tasks + kMaxChunks - 1) / kMaxChunks;
   }
-  // The roomiest partition takes the job; if it has not room for all of it, the
-  // partitions take its chunks in turn, unless these depend on each other.
+  // The roomiest partition takes the job; if it has not capacity for all of it,
+  // the partitions take its chunks in turn, unless these depend on each other.
   SteadyTime now = context_.now();
   auto anywhere =
       static_cast<uint32_t>(StableHash(spec.id, 0) % context_.partition_count);
-  auto [home, room] = context_.room.Roomiest(spec, anywhere, std::nullopt, now);
+  auto [home, capacity] = context_.capacity_table.MostFreeCapacity(
+      spec, anywhere, std::nullopt, now);
   if (spec.shape == Shape::kService) home = HomeOfService(spec, home);
   bool together = spec.one_zone || spec.spread;
   record.home = home;
   record.spread_over =
-      spec.tasks <= room || together ? 1 : context_.partition_count;
+      spec.tasks <= capacity || together ? 1 : context_.partition_count;
   if (record.spread_over == 1) {
-    context_.room.Deal(home, spec, spec.tasks);
+    context_.capacity_table.Reserve(home, spec, spec.tasks);
   }
   return record;
 }
 
-// Services with the same image share a partition as far as it has room: most of
-// its machines soon have the image, and a replica that need not fetch it starts
-// several seconds sooner.
+// Services with the same image share a partition as far as it has capacity:
+// most of its machines soon have the image, and a replica that need not fetch
+// it starts several seconds sooner.
 uint32_t Users::HomeOfService(const JobSpec& spec, uint32_t otherwise) const {
   auto first = static_cast<uint32_t>(StableHash(spec.image, 0));
   for (uint32_t n = 0; n < context_.partition_count; ++n) {
     uint32_t partition = (first + n) % context_.partition_count;
-    if (context_.room.Tasks(partition, spec, context_.now()) >= spec.tasks) {
+    if (context_.capacity_table.Tasks(partition, spec, context_.now()) >=
+        spec.tasks) {
       return partition;
     }
   }
@@ -238,7 +240,7 @@
 void Users::Flush() {
   SteadyTime now = context_.now();
   if (storing_ || queue_.empty() || now < next_store_) return;
-  bool patient = now - queue_.back().since < kPatience;
+  bool patient = now - queue_.back().since < kSubmissionPatience;
   double spare = patient ? 0 : -kSubmissionDebt;
   Transaction txn;
   std::vector<Change> batch;
@@ -258,7 +260,7 @@
       continue;
     }
     const JobSpec& spec = change.cancel ? job->spec() : change.spec;
-    bytes += MostRecordBytes(spec) + 2 * kOperationBytes;
+    bytes += MaxRecordBytes(spec) + 2 * kOperationBytes;
     if (!batch.empty() && bytes > kTransactionBytes) break;
     if (!context_.writes.Take(now, 1, change.cancel ? -2 : spare)) break;
     if (change.cancel) {
@@ -287,7 +289,7 @@
 void Users::OnStored(std::vector<Change> batch, const Transaction& txn,
                      const StateReply& reply) {
   storing_ = false;
-  next_store_ = context_.now() + kStoreGap;
+  next_store_ = context_.now() + kStoreInterval;
   if (reply.status == 200) {
     for (const Write& write : txn.writes) {
       context_.state_cache.Apply({write.key, write.value, reply.revision});
--- a/src/core/version.h
+++ b/src/core/version.h
@@ -12,7 +12,7 @@
 // Of a record that names none.
 inline constexpr uint32_t kFirstVersion = 1;
 // Runs standing jobs, and reads chunk records that bind more than
-// kMostInChunkVersion1 tasks.
+// kMaxInChunkVersion1 tasks.
 inline constexpr uint32_t kStandingJobsVersion = 2;
 inline constexpr uint32_t kThisVersion = kStandingJobsVersion;
 
--- a/src/io/event.h
+++ b/src/io/event.h
@@ -29,7 +29,7 @@
 using Buffer = std::unique_ptr<evbuffer, Deleter<evbuffer_free>>;
 using BufferEvent = std::unique_ptr<bufferevent, Deleter<bufferevent_free>>;
 using Listener = std::unique_ptr<evconnlistener, Deleter<evconnlistener_free>>;
-using HttpServer = std::unique_ptr<evhttp, Deleter<evhttp_free>>;
+using EvhttpHandle = std::unique_ptr<evhttp, Deleter<evhttp_free>>;
 using HttpConnection =
     std::unique_ptr<evhttp_connection, Deleter<evhttp_connection_free>>;
 
--- a/src/io/front.cc
+++ b/src/io/http_server.cc
@@ -1,4 +1,4 @@
-#include "io/front.h"
+#include "io/http_server.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -10,8 +10,8 @@
 namespace pitchfall::io {
 namespace {
 
-constexpr size_t kMostBody = size_t{64} * 1024;
-constexpr size_t kMostHeaders = size_t{16} * 1024;
+constexpr size_t kMaxBody = size_t{64} * 1024;
+constexpr size_t kMaxHeaders = size_t{16} * 1024;
 constexpr int kIdleSeconds = 60;
 constexpr Duration kAcceptPause = Millis(200);
 constexpr Duration kCrowdedRetry = Millis(2000);
@@ -25,13 +25,13 @@
 
 }  // namespace
 
-Front::Front(event_base* base, const Address& address, size_t most_connections,
-             Sink sink)
+HttpServer::HttpServer(event_base* base, const Address& address,
+                       size_t max_connections, Sink sink)
     : sink_(std::move(sink)),
       server_(evhttp_new(base)),
-      most_connections_(most_connections) {
-  evhttp_set_max_body_size(server_.get(), kMostBody);
-  evhttp_set_max_headers_size(server_.get(), kMostHeaders);
+      max_connections_(max_connections) {
+  evhttp_set_max_body_size(server_.get(), kMaxBody);
+  evhttp_set_max_headers_size(server_.get(), kMaxHeaders);
   evhttp_set_timeout(server_.get(), kIdleSeconds);
   // All methods, so that a wrong one is answered with 405 and not 501.
   evhttp_set_allowed_methods(
@@ -44,7 +44,7 @@
   evconnlistener* listener = evconnlistener_new_bind(
       base, nullptr, nullptr,
       LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
-      static_cast<int>(most_connections), reinterpret_cast<sockaddr*>(&sin),
+      static_cast<int>(max_connections), reinterpret_cast<sockaddr*>(&sin),
       sizeof(sin));
   if (listener == nullptr) {
     throw std::runtime_error("cannot listen on " + address.host + ":" +
@@ -57,14 +57,14 @@
   evconnlistener_set_error_cb(listener, OnAcceptError);
 }
 
-Front::~Front() {
+HttpServer::~HttpServer() {
   for (auto& [connection, id] : connections_) {
     evhttp_connection_set_closecb(connection, nullptr, nullptr);
   }
 }
 
 // Out of sockets: accepting would fail again at once and for ever.
-void Front::OnAcceptError(evconnlistener* listener, void*) {
+void HttpServer::OnAcceptError(evconnlistener* listener, void*) {
   evconnlistener_disable(listener);
   timeval pause = ToTimeval(kAcceptPause);
   event_base_once(
@@ -75,26 +75,26 @@
       listener, &pause);
 }
 
-void Front::OnRequest(evhttp_request* request, void* arg) {
-  static_cast<Front*>(arg)->Route(request);
+void HttpServer::OnRequest(evhttp_request* request, void* arg) {
+  static_cast<HttpServer*>(arg)->Route(request);
 }
 
-void Front::OnClose(evhttp_connection* connection, void* arg) {
-  auto* self = static_cast<Front*>(arg);
+void HttpServer::OnClose(evhttp_connection* connection, void* arg) {
+  auto* self = static_cast<HttpServer*>(arg);
   auto found = self->connections_.find(connection);
   if (found == self->connections_.end()) return;
   self->waiting_.erase(found->second);
   self->connections_.erase(found);
 }
 
-RequestId Front::Hold(evhttp_request* request) {
+RequestId HttpServer::Hold(evhttp_request* request) {
   RequestId id = ++last_id_;
   connections_[evhttp_request_get_connection(request)] = id;
   waiting_.emplace(id, request);
   return id;
 }
 
-void Front::Route(evhttp_request* request) {
+void HttpServer::Route(evhttp_request* request) {
   const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request);
   const char* raw_path = uri == nullptr ? nullptr : evhttp_uri_get_path(uri);
   std::string_view path = raw_path == nullptr ? "" : raw_path;
@@ -118,7 +118,7 @@
   }
   // The sockets left are for calls to the state service, the cloud, workers and
   // the other controllers.
-  if (connections_.size() > most_connections_) {
+  if (connections_.size() > max_connections_) {
     Send(request, 503,
          wire::EncodeReplyBody(Problem{"too many connections here"}),
          kCrowdedRetry, true);
@@ -158,7 +158,7 @@
   fail(404, "no such path");
 }
 
-void Front::Answer(const Reply& reply) {
+void HttpServer::Answer(const Reply& reply) {
   auto it = waiting_.find(reply.request);
   if (it == waiting_.end()) return;  // the client has gone
   evhttp_request* request = it->second;
@@ -168,8 +168,9 @@
        reply.retry_after, reply.close);
 }
 
-void Front::Send(evhttp_request* request, int status, const std::string& body,
-                 std::optional<Duration> retry_after, bool close) {
+void HttpServer::Send(evhttp_request* request, int status,
+                      const std::string& body,
+                      std::optional<Duration> retry_after, bool close) {
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
   evhttp_add_header(headers, "Content-Type", "application/msgpack");
   if (retry_after) {
--- a/src/io/front.h
+++ b/src/io/http_server.h
@@ -1,6 +1,6 @@
 // The address that users, workers and health checks use.
-#ifndef PITCHFALL_IO_FRONT_H_
-#define PITCHFALL_IO_FRONT_H_
+#ifndef PITCHFALL_IO_HTTP_SERVER_H_
+#define PITCHFALL_IO_HTTP_SERVER_H_
 
 #include <functional>
 #include <memory>
@@ -12,16 +12,16 @@
 
 namespace pitchfall::io {
 
-class Front {
+class HttpServer {
  public:
   using Sink = std::function<void(Command)>;
 
   // Throws std::runtime_error if the address cannot be bound.
-  Front(event_base* base, const Address& address, size_t most_connections,
-        Sink sink);
-  ~Front();
-  Front(const Front&) = delete;
-  Front& operator=(const Front&) = delete;
+  HttpServer(event_base* base, const Address& address, size_t max_connections,
+             Sink sink);
+  ~HttpServer();
+  HttpServer(const HttpServer&) = delete;
+  HttpServer& operator=(const HttpServer&) = delete;
 
   void Answer(const Reply& reply);
 
@@ -35,8 +35,8 @@
                    std::optional<Duration> retry_after, bool close);
 
   Sink sink_;
-  HttpServer server_;
-  const size_t most_connections_;
+  EvhttpHandle server_;
+  const size_t max_connections_;
   RequestId last_id_ = 0;
   // Those that have sent a request, with the one that waits for its answer.
   std::unordered_map<evhttp_connection*, RequestId> connections_;
--- a/src/io/peers.cc
+++ b/src/io/peers.cc
@@ -10,8 +10,8 @@
 namespace {
 
 // A connection on which this much waits to be sent leads nowhere.
-constexpr size_t kMostWaiting = size_t{16} * 1024;
-constexpr size_t kMostIncoming = 64;
+constexpr size_t kMaxWaiting = size_t{16} * 1024;
+constexpr size_t kMaxIncoming = 64;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   for (auto& peer : outgoing_) {
     if (peer->connection &&
         (peer->broken || evbuffer_get_length(bufferevent_get_output(
-                             peer->connection.get())) > kMostWaiting)) {
+                             peer->connection.get())) > kMaxWaiting)) {
       peer->connection.reset();
       peer->broken = false;
     }
@@ -72,7 +72,7 @@
                      void* arg) {
   auto* self = static_cast<Peers*>(arg);
   // The oldest is the likeliest to be forgotten by its other end.
-  if (self->incoming_.size() >= kMostIncoming) self->incoming_.pop_front();
+  if (self->incoming_.size() >= kMaxIncoming) self->incoming_.pop_front();
   self->incoming_.emplace_back();
   auto it = std::prev(self->incoming_.end());
   it->owner = self;
--- a/src/io/runtime.cc
+++ b/src/io/runtime.cc
@@ -27,7 +27,7 @@
 
 // How many connections of users and workers leave enough sockets for all that
 // this process opens itself, and for files.
-size_t MostConnections(const Deployment& deployment) {
+size_t MaxConnections(const Deployment& deployment) {
   constexpr size_t kFiles = 32;
   size_t own = kFiles + kStateConnections + kCloudConnections +
                2 * deployment.peers.size() + deployment.sockets / kWorkerShare;
@@ -47,16 +47,16 @@
 Runtime::Runtime(const Deployment& deployment, const Tuning& tuning)
     : base_(event_base_new()),
       controller_(deployment, tuning, NewIncarnation()),
-      front_(base_.get(), ParseAddress(deployment.front),
-             MostConnections(deployment),
-             [this](Command command) { Push(std::move(command)); }),
+      http_server_(base_.get(), ParseAddress(deployment.front),
+                   MaxConnections(deployment),
+                   [this](Command command) { Push(std::move(command)); }),
       peers_(base_.get(), ParseAddress(deployment.peer_bind),
              PeerAddresses(deployment),
              [this](PeerHeartbeat heartbeat) { Push(std::move(heartbeat)); }),
       state_(base_.get(), ParseAddress(deployment.state_address),
              kStateConnections),
       cloud_(base_.get(), ParseAddress(deployment.cloud), kCloudConnections),
-      most_worker_clients_(deployment.sockets / kWorkerShare),
+      max_worker_clients_(deployment.sockets / kWorkerShare),
       drain_(event_new(base_.get(), -1, 0, OnDrain, this)),
       tick_(event_new(base_.get(), -1, EV_PERSIST, OnTick, this)) {
   timeval tv = ToTimeval(kTick);
@@ -115,12 +115,12 @@
     reply.call = id;
     Push(std::move(reply));
   };
-  if (workers_.size() >= most_worker_clients_) {
+  if (workers_.size() >= max_worker_clients_) {
     std::erase_if(workers_,
                   [](const auto& entry) { return entry.second->idle(); });
   }
   // What a call would have said goes with the answer to the worker's report.
-  if (workers_.size() >= most_worker_clients_) {
+  if (workers_.size() >= max_worker_clients_) {
     answer(0, {});
     return;
   }
--- a/src/io/runtime.h
+++ b/src/io/runtime.h
@@ -10,8 +10,8 @@
 
 #include "core/controller.h"
 #include "io/event.h"
-#include "io/front.h"
 #include "io/http_client.h"
+#include "io/http_server.h"
 #include "io/peers.h"
 
 namespace pitchfall::io {
@@ -27,7 +27,7 @@
   static void OnTick(evutil_socket_t, short, void* arg);
   void Push(Command command);
   void Drain();
-  void Perform(const Reply& reply) { front_.Answer(reply); }
+  void Perform(const Reply& reply) { http_server_.Answer(reply); }
   void Perform(const StateCall& call);
   void Perform(const CloudCall& call);
   void Perform(const WorkerCall& call);
@@ -38,11 +38,11 @@
 
   EventBase base_;
   Controller controller_;
-  Front front_;
+  HttpServer http_server_;
   Peers peers_;
   HttpClient state_;
   HttpClient cloud_;
-  const size_t most_worker_clients_;
+  const size_t max_worker_clients_;
   std::map<std::string, std::unique_ptr<HttpClient>> workers_;
   Event drain_;
   Event tick_;
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -15,11 +15,11 @@
 // are not trusted; the platform's services send long lists.
 constexpr size_t kClientItems = 8192;
 constexpr size_t kServiceItems = 200000;
-constexpr size_t kMostDepth = 16;
+constexpr size_t kMaxDepth = 16;
 
-constexpr double kMostAmount = 1e6;
-constexpr double kMostSeconds = 1e9;
-constexpr uint64_t kMostTasks = 100000;
+constexpr double kMaxAmount = 1e6;
+constexpr double kMaxSeconds = 1e9;
+constexpr uint64_t kMaxTasks = 100000;
 constexpr size_t kLongestText = 200;
 
 constexpr std::string_view kIdStart = "run-";
@@ -44,7 +44,7 @@
                                            {"exited", TaskState::kExited}};
 constexpr Word<ExitCause> kCauses[] = {
     {"done", ExitCause::kDone},   {"halted", ExitCause::kStopped},
-    {"error", ExitCause::kError}, {"no_room", ExitCause::kNoRoom},
+    {"error", ExitCause::kError}, {"no_room", ExitCause::kNoCapacity},
     {"busy", ExitCause::kBusy},   {"no_such", ExitCause::kUnknownTask}};
 constexpr Word<MachineStatus> kMachineStatuses[] = {
     {"starting", MachineStatus::kBooting},
@@ -85,7 +85,7 @@
 }
 
 Duration ReadSeconds(const Fields& in, std::string_view key) {
-  return Seconds(in.Amount(key, kMostSeconds));
+  return Seconds(in.Amount(key, kMaxSeconds));
 }
 
 // A service runs until it is cancelled: it has no run time and no due time.
@@ -102,14 +102,14 @@
   spec.team = ReadName(in, "crew");
   spec.shape = ReadWord(in, "shape", kShapes);
   spec.priority = ReadWord(in, "urgency", kPriorities);
-  spec.tasks = static_cast<uint32_t>(in.Count("legs", kMostTasks));
+  spec.tasks = static_cast<uint32_t>(in.Count("legs", kMaxTasks));
   if (spec.tasks == 0) Fields::Fail("legs", "is 0");
-  spec.need = Resources::FromDecimals(in.Amount("vcpus", kMostAmount),
-                                      in.Amount("accelerators", kMostAmount),
-                                      in.Amount("mem_gb", kMostAmount));
-  if (spec.need.cpus == 0) Fields::Fail("vcpus", "is 0");
+  spec.resources = Resources::FromDecimals(
+      in.Amount("vcpus", kMaxAmount), in.Amount("accelerators", kMaxAmount),
+      in.Amount("mem_gb", kMaxAmount));
+  if (spec.resources.cpus == 0) Fields::Fail("vcpus", "is 0");
   spec.image = ReadName(in, "kit");
-  spec.image_gb = in.Amount("pull_gb", kMostAmount);
+  spec.image_gb = in.Amount("pull_gb", kMaxAmount);
   if (in.Find("rigs") != nullptr) {
     const auto& list = in.List("rigs");
     spec.types.emplace();
@@ -124,7 +124,7 @@
   spec.estimate = ReadSeconds(in, "expected_s");
   spec.checkpoint = ReadSeconds(in, "waypoint_s");
   spec.save = ReadSeconds(in, "stow_s");
-  if (spec.shape == Shape::kGang && spec.tasks > kMostInChunkVersion1) {
+  if (spec.shape == Shape::kGang && spec.tasks > kMaxInChunkVersion1) {
     Fields::Fail("legs", "is too large for a gang");
   }
   if (in.Find("due_s") != nullptr) spec.deadline = ReadSeconds(in, "due_s");
@@ -143,7 +143,7 @@
   heartbeat.seq = in.Count("tally");
   heartbeat.fencing_token = in.CountOr("baton", 0);
   if (in.Find("recall_s") != nullptr) {
-    heartbeat.notice = ReadSeconds(in, "recall_s");
+    heartbeat.preemption_notice = ReadSeconds(in, "recall_s");
   }
   if (in.Find("legs") == nullptr) return heartbeat;
   const auto& list = in.List("legs");
@@ -164,7 +164,7 @@
 template <typename T, typename Read>
 Decoded<T> DecodeClient(std::string_view body, Read read) {
   try {
-    Message message(body, kClientItems, kMostDepth);
+    Message message(body, kClientItems, kMaxDepth);
     return {read(Fields(message.root())), ""};
   } catch (const Malformed& problem) {
     return {std::nullopt, problem.what()};
@@ -296,13 +296,13 @@
   MachineType type;
   type.name = ReadName(in, "name");
   type.capacity =
-      Resources::FromDecimals(in.Amount("vcpus", kMostAmount),
-                              in.AmountOr("accelerators", kMostAmount, 0),
-                              in.Amount("mem_gb", kMostAmount));
-  type.cache_gb = in.AmountOr("local_gb", kMostAmount, 0);
-  type.fetch_gb_per_s = in.AmountOr("fetch_gb_per_s", kMostAmount, 0);
-  type.price = in.Amount("hourly", kMostAmount);
-  type.spot_price = in.AmountOr("market_price", kMostAmount, type.price);
+      Resources::FromDecimals(in.Amount("vcpus", kMaxAmount),
+                              in.AmountOr("accelerators", kMaxAmount, 0),
+                              in.Amount("mem_gb", kMaxAmount));
+  type.cache_gb = in.AmountOr("local_gb", kMaxAmount, 0);
+  type.fetch_gb_per_s = in.AmountOr("fetch_gb_per_s", kMaxAmount, 0);
+  type.price = in.Amount("hourly", kMaxAmount);
+  type.spot_price = in.AmountOr("market_price", kMaxAmount, type.price);
   type.boot = ReadSeconds(in, "startup_s");
   const auto& zones = in.List("yards");
   for (uint32_t i = 0; i < zones.size; ++i) {
@@ -329,14 +329,14 @@
     reply.types.push_back(ReadType(Fields(list.ptr[i])));
   }
 }
-void ReadInto(CloudReply& reply, const Rent&, const Fields& in) {
+void ReadInto(CloudReply& reply, const CreateInstances&, const Fields& in) {
   if (reply.status != 200) {
     reply.no_capacity = in.TextOr("error", "") == "no capacity";
     return;
   }
   const auto& list = in.List("tines");
   for (uint32_t i = 0; i < list.size; ++i) {
-    reply.rented.push_back(Fields::AsText(list.ptr[i], "tines"));
+    reply.created.push_back(Fields::AsText(list.ptr[i], "tines"));
   }
 }
 void ReadInto(CloudReply&, const DeleteMachines&, const Fields&) {}
@@ -404,7 +404,7 @@
   reply.status = status;
   if (status == 0 || std::holds_alternative<Renew>(request)) return reply;
   try {
-    Message message(body, kServiceItems, kMostDepth);
+    Message message(body, kServiceItems, kMaxDepth);
     if (status == 200 || status == 409 || status == 400) {
       Fields in(message.root());
       std::visit([&](const auto& r) { ReadInto(reply, r, in); }, request);
@@ -420,7 +420,7 @@
   HttpRequest http;
   if (std::holds_alternative<GetTypes>(request)) {
     http.path = "/flavors";
-  } else if (const auto* rent = std::get_if<Rent>(&request)) {
+  } else if (const auto* rent = std::get_if<CreateInstances>(&request)) {
     http.post = true;
     http.path = "/rentals";
     Packer out;
@@ -450,7 +450,7 @@
     return reply;
   }
   try {
-    Message message(body, kServiceItems, kMostDepth);
+    Message message(body, kServiceItems, kMaxDepth);
     if (status == 200 || status == 503) {
       Fields in(message.root());
       std::visit([&](const auto& r) { ReadInto(reply, r, in); }, request);
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -162,13 +162,13 @@
 // A whole message, with bounds on what its headers may make us allocate.
 class Message {
  public:
-  Message(std::string_view body, size_t most_items, size_t most_depth) {
+  Message(std::string_view body, size_t max_items, size_t max_depth) {
     try {
       size_t used = 0;
       handle_ =
           msgpack::unpack(body.data(), body.size(), used, nullptr, nullptr,
-                          msgpack::unpack_limit(most_items, most_items,
-                                                body.size(), 0, 0, most_depth));
+                          msgpack::unpack_limit(max_items, max_items,
+                                                body.size(), 0, 0, max_depth));
       if (used != body.size()) throw Malformed("more than one value");
     } catch (const Malformed&) {
       throw;
--- a/src/wire/peer.capnp
+++ b/src/wire/peer.capnp
@@ -10,8 +10,8 @@
   incarnation @1 :Text;
   sentMicros @2 :Int64;
   stateAgeMicros @3 :Int64;
-  strays @4 :List(UInt32);
-  free @5 :List(Room);
+  misroutedWorkers @4 :List(UInt32);
+  free @5 :List(FreeCapacity);
   requests @6 :Float64;
   writes @7 :Float64;
   uptimeMicros @8 :Int64;
@@ -36,7 +36,7 @@
 }
 
 # Processors of a partition that are free for tasks of 1, 2, 4 ... processors.
-struct Room {
+struct FreeCapacity {
   partition @0 :UInt32;
   any @1 :List(Int64);
   ordinary @2 :List(Int64);
--- a/src/wire/peer.cc
+++ b/src/wire/peer.cc
@@ -11,7 +11,7 @@
 namespace pitchfall::wire {
 namespace {
 
-constexpr size_t kMostBytes = size_t{64} * 1024;
+constexpr size_t kMaxBytes = size_t{64} * 1024;
 constexpr size_t kWord = sizeof(capnp::word);
 
 kj::Array<capnp::word> Aligned(std::string_view data) {
@@ -25,10 +25,10 @@
 
 using SlotList = capnp::List<int64_t>;
 
-void PutSlots(SlotList::Builder list, const FreeRoom::Slots& slots) {
+void PutSlots(SlotList::Builder list, const FreeCapacity::Slots& slots) {
   for (unsigned i = 0; i < slots.size(); ++i) list.set(i, slots[i]);
 }
-void GetSlots(SlotList::Reader list, FreeRoom::Slots& slots) {
+void GetSlots(SlotList::Reader list, FreeCapacity::Slots& slots) {
   unsigned count = std::min<unsigned>(list.size(), slots.size());
   for (unsigned i = 0; i < count; ++i) slots[i] = list[i];
 }
@@ -42,16 +42,17 @@
   root.setIncarnation(heartbeat.incarnation);
   root.setSentMicros(heartbeat.sent.time_since_epoch().count());
   root.setStateAgeMicros(heartbeat.state_age.count());
-  auto strays = root.initStrays(static_cast<unsigned>(heartbeat.strays.size()));
-  for (unsigned i = 0; i < strays.size(); ++i)
-    strays.set(i, heartbeat.strays[i]);
-  auto rooms = root.initFree(static_cast<unsigned>(heartbeat.free.size()));
+  auto misrouted_workers = root.initMisroutedWorkers(
+      static_cast<unsigned>(heartbeat.misrouted_workers.size()));
+  for (unsigned i = 0; i < misrouted_workers.size(); ++i)
+    misrouted_workers.set(i, heartbeat.misrouted_workers[i]);
+  auto capacities = root.initFree(static_cast<unsigned>(heartbeat.free.size()));
   unsigned count = 0;
   for (const auto& [partition, free] : heartbeat.free) {
-    auto room = rooms[count++];
-    room.setPartition(partition);
-    PutSlots(room.initAny(FreeRoom::kSizes), free.any);
-    PutSlots(room.initOrdinary(FreeRoom::kSizes), free.ordinary);
+    auto capacity = capacities[count++];
+    capacity.setPartition(partition);
+    PutSlots(capacity.initAny(FreeCapacity::kSizes), free.any);
+    PutSlots(capacity.initOrdinary(FreeCapacity::kSizes), free.ordinary);
   }
   root.setRequests(heartbeat.requests);
   root.setWrites(heartbeat.writes);
@@ -82,17 +83,17 @@
 }
 
 size_t PeerHeartbeatSize(std::string_view data) {
-  auto words = Aligned(data.substr(0, kMostBytes));
+  auto words = Aligned(data.substr(0, kMaxBytes));
   if (words.size() == 0) return kWord;
   size_t size = capnp::expectedSizeInWordsFromPrefix(words) * kWord;
-  return size > kMostBytes ? 0 : size;
+  return size > kMaxBytes ? 0 : size;
 }
 
 std::optional<PeerHeartbeat> DecodePeerHeartbeat(std::string_view message) {
   try {
     auto words = Aligned(message);
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = kMostBytes / kWord * 4;
+    options.traversalLimitInWords = kMaxBytes / kWord * 4;
     capnp::FlatArrayMessageReader reader(words, options);
     auto root = reader.getRoot<schema::PeerHeartbeat>();
     PeerHeartbeat heartbeat;
@@ -100,11 +101,12 @@
     heartbeat.incarnation = root.getIncarnation().cStr();
     heartbeat.sent = WallTime(Duration(root.getSentMicros()));
     heartbeat.state_age = Duration(root.getStateAgeMicros());
-    for (uint32_t strays : root.getStrays()) heartbeat.strays.push_back(strays);
-    for (auto room : root.getFree()) {
-      FreeRoom& free = heartbeat.free[room.getPartition()];
-      GetSlots(room.getAny(), free.any);
-      GetSlots(room.getOrdinary(), free.ordinary);
+    for (uint32_t misrouted_workers : root.getMisroutedWorkers())
+      heartbeat.misrouted_workers.push_back(misrouted_workers);
+    for (auto capacity : root.getFree()) {
+      FreeCapacity& free = heartbeat.free[capacity.getPartition()];
+      GetSlots(capacity.getAny(), free.any);
+      GetSlots(capacity.getOrdinary(), free.ordinary);
     }
     heartbeat.requests = root.getRequests();
     heartbeat.writes = root.getWrites();
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -10,7 +10,7 @@
 namespace pitchfall::wire {
 namespace {
 
-constexpr double kMostAmount = 1e12;
+constexpr double kMaxAmount = 1e12;
 
 void PackResources(Packer& out, const Resources& r) {
   out.List(3).Value(r.cpus).Value(r.gpus).Value(r.memory);
@@ -55,7 +55,7 @@
   out.Map(25);
   out.Pair("id", spec.id).Pair("class", spec.job_class).Pair("team", spec.team);
   out.Pair("prio", static_cast<int>(spec.priority)).Pair("tasks", spec.tasks);
-  PackResources(out.Key("need"), spec.need);
+  PackResources(out.Key("need"), spec.resources);
   out.Pair("image", spec.image).Pair("image_gb", spec.image_gb);
   out.Key("types");
   if (spec.types) {
@@ -102,9 +102,9 @@
   spec.priority = static_cast<Priority>(in.Count("prio", 3));
   spec.tasks = static_cast<uint32_t>(in.Count("tasks", UINT32_MAX));
   spec.shape = static_cast<Shape>(in.Count("shape", 2));
-  spec.need = ReadResources(in, "need");
+  spec.resources = ReadResources(in, "need");
   spec.image = in.Text("image");
-  spec.image_gb = in.Amount("image_gb", kMostAmount);
+  spec.image_gb = in.Amount("image_gb", kMaxAmount);
   if (in.Find("types") != nullptr) spec.types = ReadTexts(in, "types");
   spec.zone = in.Text("zone");
   spec.one_zone = in.Flag("one");
@@ -123,13 +123,13 @@
   const auto& runs = in.List("owners");
   if (runs.size % 3 != 0) Fields::Fail("owners", "is not in threes");
   for (uint32_t i = 0; i < runs.size; i += 3) {
-    uint64_t count = Fields::AsCount(runs.ptr[i], "owners", kMostChunks);
+    uint64_t count = Fields::AsCount(runs.ptr[i], "owners", kMaxChunks);
     ChunkOwner owner;
     owner.partition = static_cast<uint32_t>(
         Fields::AsCount(runs.ptr[i + 1], "owners", UINT32_MAX));
     owner.epoch = static_cast<uint32_t>(
         Fields::AsCount(runs.ptr[i + 2], "owners", UINT32_MAX));
-    if (job.owners.size() + count > kMostChunks) {
+    if (job.owners.size() + count > kMaxChunks) {
       Fields::Fail("owners", "names too many chunks");
     }
     job.owners.insert(job.owners.end(), count, owner);
@@ -227,8 +227,7 @@
     if (place >= table.size()) Fields::Fail(kKey, "names no machine");
     uint32_t attempt = AsNumber(group.ptr[1], kKey);
     TaskSet tasks = ReadRanges(group, 2, kKey);
-    if (record.assigned.size() + boost::icl::cardinality(tasks) >
-        kMostInChunk) {
+    if (record.assigned.size() + boost::icl::cardinality(tasks) > kMaxInChunk) {
       Fields::Fail(kKey, "binds too many tasks");
     }
     for (const auto& range : tasks) {
@@ -269,27 +268,29 @@
 
 void Pack(Packer& out, const PartitionRecord& share) {
   out.Map(3).Pair("label", share.label).Pair("life", share.incarnation);
-  out.Pair("shun", share.shunned);
+  out.Pair("shun", share.unreachable_owner);
 }
 PartitionRecord ReadPartition(const Fields& in) {
   return {in.Text("label"), in.Text("life"), in.TextOr("shun", "")};
 }
 
-void Pack(Packer& out, const RentalRecord& rental) {
-  out.Map(6).Pair("type", rental.type).Pair("zone", rental.zone);
-  out.Pair("spot", rental.spot).Pair("count", rental.count);
-  out.Pair("at", rental.asked.time_since_epoch().count());
-  PackTexts(out.Key("got"), rental.machines);
+void Pack(Packer& out, const InstanceRequestRecord& instance_request) {
+  out.Map(6)
+      .Pair("type", instance_request.type)
+      .Pair("zone", instance_request.zone);
+  out.Pair("spot", instance_request.spot).Pair("count", instance_request.count);
+  out.Pair("at", instance_request.asked.time_since_epoch().count());
+  PackTexts(out.Key("got"), instance_request.machines);
 }
-RentalRecord ReadRental(const Fields& in) {
-  RentalRecord rental;
-  rental.type = in.Text("type");
-  rental.zone = in.Text("zone");
-  rental.spot = in.Flag("spot");
-  rental.count = static_cast<uint32_t>(in.Count("count", UINT32_MAX));
-  rental.asked = WallTime(ReadDuration(in, "at"));
-  rental.machines = ReadTexts(in, "got");
-  return rental;
+InstanceRequestRecord ReadInstanceRequest(const Fields& in) {
+  InstanceRequestRecord instance_request;
+  instance_request.type = in.Text("type");
+  instance_request.zone = in.Text("zone");
+  instance_request.spot = in.Flag("spot");
+  instance_request.count = static_cast<uint32_t>(in.Count("count", UINT32_MAX));
+  instance_request.asked = WallTime(ReadDuration(in, "at"));
+  instance_request.machines = ReadTexts(in, "got");
+  return instance_request;
 }
 
 void Pack(Packer& out, const TypesRecord& types) {
@@ -311,10 +312,10 @@
     MachineType type;
     type.name = row.Text("name");
     type.capacity = ReadResources(row, "size");
-    type.cache_gb = row.Amount("cache", kMostAmount);
-    type.fetch_gb_per_s = row.Amount("fetch", kMostAmount);
-    type.price = row.Amount("price", kMostAmount);
-    type.spot_price = row.Amount("spot", kMostAmount);
+    type.cache_gb = row.Amount("cache", kMaxAmount);
+    type.fetch_gb_per_s = row.Amount("fetch", kMaxAmount);
+    type.price = row.Amount("price", kMaxAmount);
+    type.spot_price = row.Amount("spot", kMaxAmount);
     type.boot = ReadDuration(row, "boot");
     type.zones = ReadTexts(row, "zones");
     types.types.push_back(std::move(type));
@@ -389,8 +390,8 @@
     Fields row(list.ptr[i]);
     SizingRecord::Point point;
     point.requested = ReadResources(row, "room");
-    point.utilisation = row.Amount("u", kMostAmount);
-    point.delay = row.AmountOr("d", kMostAmount, -1);
+    point.utilisation = row.Amount("u", kMaxAmount);
+    point.delay = row.AmountOr("d", kMaxAmount, -1);
     sizing.history.push_back(point);
   }
   return sizing;
@@ -414,7 +415,7 @@
   if (key.starts_with(keys::kSegments)) return ReadSegment(in);
   if (key.starts_with(keys::kNodes)) return ReadNode(in);
   if (key.starts_with(keys::kPartitions)) return ReadPartition(in);
-  if (key.starts_with(keys::kRentals)) return ReadRental(in);
+  if (key.starts_with(keys::kInstanceRequests)) return ReadInstanceRequest(in);
   if (key.starts_with(keys::kTeams)) return ReadTeam(in);
   if (key == keys::kTypes) return ReadTypes(in);
   if (key == keys::kDrain) return ReadDrain(in);
--- a/tests/answer_bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -45,7 +45,7 @@
                  cloud_,
                  "life",
                  1,
-                 RoomBook(1),
+                 CapacityTable(1),
                  CancellationWatermark(deployment_, deployment_.label, "life"),
                  StateLimits(deployment_)} {
     tuning_.heartbeat_hold = Duration(0);
@@ -324,7 +324,7 @@
     spec.id = "run-1";
     spec.team = "red";
     spec.tasks = 1;
-    spec.need = Resources::FromDecimals(1, 0, 1);
+    spec.resources = Resources::FromDecimals(1, 0, 1);
     JobRecord job;
     job.spec = spec;
     job.chunk_size = 8;
