--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -54,8 +54,8 @@
   ASSERT_TRUE(spec);
   EXPECT_EQ(spec->id, "run-000412");
   EXPECT_EQ(spec->tasks, 16u);
-  EXPECT_EQ(spec->need.cpus, 2700000);
-  EXPECT_EQ(spec->need.memory, 5800000);
+  EXPECT_EQ(spec->resources.cpus, 2700000);
+  EXPECT_EQ(spec->resources.memory, 5800000);
   EXPECT_EQ(spec->priority, Priority::kHigh);
   EXPECT_FALSE(spec->types);
   EXPECT_FALSE(spec->deadline);
@@ -214,7 +214,7 @@
   ChunkRecord chunk;
   chunk.epoch = random() % 3;
   chunk.next_attempt = 1 + random() % 9;
-  for (uint32_t task = 0; task < kMostInChunkVersion1; ++task) {
+  for (uint32_t task = 0; task < kMaxInChunkVersion1; ++task) {
     if (random() % 3 == 0) AddTask(chunk.done, task);
     if (random() % 3 == 0) {
       chunk.assigned.push_back({task, static_cast<uint32_t>(random() % 3),
@@ -280,7 +280,7 @@
 // smallest value the state service takes (8 KiB in the deployments so far).
 TEST(Records, LargestChunkFitsASegment) {
   ChunkRecord chunk;
-  for (uint32_t task = 0; task < kMostInChunkVersion1; ++task) {
+  for (uint32_t task = 0; task < kMaxInChunkVersion1; ++task) {
     chunk.assigned.push_back({99000 + task, 1000000 + task,
                               "m-1234" + std::to_string(100 + task),
                               "a-rather-long-zone"});
@@ -295,17 +295,17 @@
   JobRecord job;
   job.spec = *DecodeSubmission(Submission()).value;
   job.spec.tasks = 100000;
-  job.spec.need = {1000000000000, 1000000000000, 1000000000000};
+  job.spec.resources = {1000000000000, 1000000000000, 1000000000000};
   job.spec.image_gb = 123456.789012345;
   job.spec.estimate = job.spec.checkpoint = job.spec.save = Seconds(999999999);
   job.spec.deadline = Seconds(999999999);
   job.submitted = WallTime(Seconds(1e10));
   job.chunk_size = 1563;
-  for (uint32_t chunk = 0; chunk < kMostChunks; ++chunk) {
+  for (uint32_t chunk = 0; chunk < kMaxChunks; ++chunk) {
     job.owners.push_back({10 + chunk % 7, 10000 + chunk});
   }
   EXPECT_LE(JsonSize(Packed(job)), RecordBytes(job));
-  EXPECT_LE(RecordBytes(job), MostRecordBytes(job.spec));
+  EXPECT_LE(RecordBytes(job), MaxRecordBytes(job.spec));
   job.spec.types = std::vector<std::string>(200, "a-long-type-name");
   EXPECT_GT(RecordBytes(job), 2048u);
   EXPECT_LE(RecordBytes(FinalRecord(job, JobState::kCancelled, 2048)), 2048u);
@@ -316,7 +316,7 @@
     entry.record.assigned.push_back(
         {2000 + task, 7, "m-" + std::to_string(100000 + task / 9), "zone"});
   }
-  const size_t most = MostEntryBytes(entry);
+  const size_t most = MaxEntryBytes(entry);
   while (!entry.record.assigned.empty()) {
     auto ended =
         entry.record.assigned.begin() +
@@ -355,7 +355,7 @@
   PeerHeartbeat peer_heartbeat;
   peer_heartbeat.label = "node-0";
   peer_heartbeat.incarnation = "abc";
-  peer_heartbeat.strays = {1, 2, 3};
+  peer_heartbeat.misrouted_workers = {1, 2, 3};
   peer_heartbeat.free[1].any = {5, 6};
   peer_heartbeat.echoes = {{"node-1", "0a", SteadyTime(Seconds(9))}};
   peer_heartbeat.cancelled = {"run-1", "run-2"};
@@ -377,8 +377,8 @@
       EXPECT_TRUE(ValidJobId(spec.value->id));
       EXPECT_GE(spec.value->tasks, 1u);
       EXPECT_LE(spec.value->tasks, 100000u);
-      EXPECT_GT(spec.value->need.cpus, 0);
-      EXPECT_GE(spec.value->need.memory, 0);
+      EXPECT_GT(spec.value->resources.cpus, 0);
+      EXPECT_GE(spec.value->resources.memory, 0);
     } else {
       EXPECT_FALSE(spec.error.empty());
     }
@@ -404,7 +404,7 @@
   heartbeat.incarnation = "00ff";
   heartbeat.sent = WallTime(Seconds(12));
   heartbeat.state_age = Millis(250);
-  heartbeat.strays = {0, 4};
+  heartbeat.misrouted_workers = {0, 4};
   heartbeat.free[1].any = {16000000, 16000000, 8000000};
   heartbeat.free[1].ordinary = {8000000};
   heartbeat.writes = 2.5;
@@ -421,7 +421,7 @@
   ASSERT_TRUE(back);
   EXPECT_EQ(back->label, heartbeat.label);
   EXPECT_EQ(back->sent, heartbeat.sent);
-  EXPECT_EQ(back->strays, heartbeat.strays);
+  EXPECT_EQ(back->misrouted_workers, heartbeat.misrouted_workers);
   EXPECT_EQ(back->free, heartbeat.free);
   EXPECT_EQ(back->writes, heartbeat.writes);
   EXPECT_EQ(back->uptime, heartbeat.uptime);
--- a/tests/compound_failures_test.cc
+++ b/tests/compound_failures_test.cc
@@ -14,26 +14,29 @@
 TEST(CompoundFailure, TeamsAtTheirLimitsCancelOnMachinesThatAreCutOffOrHang) {
   for (bool hang : {false, true}) {
     Play(
-        [](WorldConfig& config) {
+        [](SimulationConfig& config) {
           config.team_limit = 16;
           config.longest_run_s = 20;
           config.end = Seconds(700);
         },
-        [hang](World& world) {
-          world.At(30, [&world, hang] {
+        [hang](ClusterSimulation& simulation) {
+          simulation.At(30, [&simulation, hang] {
             if (hang) {
-              world.HangMachines(0.6, 5);
+              simulation.HangMachines(0.6, 5);
             } else {
-              world.CutMachines(0.6, 14, true);
+              simulation.CutMachines(0.6, 14, true);
             }
           });
-          world.At(30.5, [&world] { world.CancelNow(6, 0); });
-          world.At(31,
-                   [&world] { world.CrashNode(world.OwnerOf(0), Seconds(4)); });
-          world.At(33, [&world] { world.CancelNow(3, 5); });
-          world.CalmFrom(46);
+          simulation.At(30.5, [&simulation] { simulation.CancelNow(6, 0); });
+          simulation.At(31, [&simulation] {
+            simulation.CrashNode(simulation.OwnerOf(0), Seconds(4));
+          });
+          simulation.At(33, [&simulation] { simulation.CancelNow(3, 5); });
+          simulation.CalmFrom(46);
         },
-        [](World& world) { EXPECT_GT(world.cancelled(), 0); });
+        [](ClusterSimulation& simulation) {
+          EXPECT_GT(simulation.cancelled(), 0);
+        });
   }
 }
 
@@ -41,20 +44,22 @@
 // owner begins, and once more when it has acted.
 TEST(CompoundFailure, OldHeartbeatsReachEveryControllerAsANewLeaderBegins) {
   for (double delay_s : {0.0, 1.5, 8.0}) {
-    Play([](WorldConfig& config) { config.jobs_within = Seconds(90); },
-         [delay_s](World& world) {
-           world.At(5, [&world, delay_s] {
-             world.KeepHeartbeatsForNextOwner(0.3, 90, delay_s);
+    Play([](SimulationConfig& config) { config.jobs_within = Seconds(90); },
+         [delay_s](ClusterSimulation& simulation) {
+           simulation.At(5, [&simulation, delay_s] {
+             simulation.KeepHeartbeatsForNextOwner(0.3, 90, delay_s);
            });
            for (int i = 0; i < 4; ++i) {
-             world.At(25 + 18 * i, [&world, i] {
-               world.CrashNode(world.OwnerOf(static_cast<uint32_t>(i % 3)),
-                               Millis(i % 2 == 0 ? 300 : 4000));
+             simulation.At(25 + 18 * i, [&simulation, i] {
+               simulation.CrashNode(
+                   simulation.OwnerOf(static_cast<uint32_t>(i % 3)),
+                   Millis(i % 2 == 0 ? 300 : 4000));
+             });
+             simulation.At(27 + 18 * i, [&simulation] {
+               simulation.CutMachines(0.4, 9, false);
              });
-             world.At(27 + 18 * i,
-                      [&world] { world.CutMachines(0.4, 9, false); });
            }
-           world.CalmFrom(100);
+           simulation.CalmFrom(100);
          });
   }
 }
@@ -62,19 +67,19 @@
 TEST(CompoundFailure,
      MachinesUpAtOnceGetWorkWhileWritesAreLateAndTheLeaderEnds) {
   Play(
-      [](WorldConfig& config) {
+      [](SimulationConfig& config) {
         config.jobs = 40;
         config.jobs_within = Seconds(50);
         config.longest_run_s = 15;
       },
-      [](World& world) {
-        world.At(2, [&world] { world.LateWrites(0.4, 60); });
+      [](ClusterSimulation& simulation) {
+        simulation.At(2, [&simulation] { simulation.LateWrites(0.4, 60); });
         for (int i = 0; i < 5; ++i) {
-          world.At(6 + 11 * i, [&world] {
-            world.CrashNode(world.OwnerOf(0), Millis(700));
+          simulation.At(6 + 11 * i, [&simulation] {
+            simulation.CrashNode(simulation.OwnerOf(0), Millis(700));
           });
         }
-        world.CalmFrom(75);
+        simulation.CalmFrom(75);
       });
 }
 
@@ -82,25 +87,28 @@
 TEST(CompoundFailure, UsersAskAllControllersRightAfterEachAnswer) {
   for (bool slow : {false, true}) {
     Play(
-        [](WorldConfig& config) {
+        [](SimulationConfig& config) {
           config.jobs = 60;
           config.jobs_within = Seconds(60);
           config.longest_run_s = 6;
           config.cancel_share = 0.3;
           config.lost_reply = 0.02;
         },
-        [slow](World& world) {
-          world.WatchAnswersClosely(120);
-          world.CancelAtEnd(0.3);
+        [slow](ClusterSimulation& simulation) {
+          simulation.WatchAnswersClosely(120);
+          simulation.CancelAtEnd(0.3);
           if (slow) {
-            world.At(10, [&world] { world.SlowState(60); });
-            world.At(30, [&world] { world.SlowNode(1, 20); });
+            simulation.At(10, [&simulation] { simulation.SlowState(60); });
+            simulation.At(30, [&simulation] { simulation.SlowNode(1, 20); });
           }
-          world.At(
-              40, [&world] { world.CrashNode(world.OwnerOf(0), Millis(300)); });
-          world.CalmFrom(72);
+          simulation.At(40, [&simulation] {
+            simulation.CrashNode(simulation.OwnerOf(0), Millis(300));
+          });
+          simulation.CalmFrom(72);
         },
-        [](World& world) { EXPECT_GT(world.cancelled(), 0); });
+        [](ClusterSimulation& simulation) {
+          EXPECT_GT(simulation.cancelled(), 0);
+        });
   }
 }
 
@@ -108,25 +116,27 @@
   static constexpr int kJobs = 600;
   constexpr double kPerSecond = 4;
   Play(
-      [](WorldConfig& config) {
+      [](SimulationConfig& config) {
         config.jobs = 0;
         config.end = Seconds(500);
       },
-      [](World& world) {
+      [](ClusterSimulation& simulation) {
         for (int i = 0; i < kJobs; ++i) {
           std::string id = "run-61" + std::to_string(1000 + i);
-          world.AddJobAt(1 + i / kPerSecond, id, 1, 4);
-          if (i % 4 == 0) world.CancelAt(1 + i / kPerSecond + 0.5 + i % 7, id);
+          simulation.AddJobAt(1 + i / kPerSecond, id, 1, 4);
+          if (i % 4 == 0)
+            simulation.CancelAt(1 + i / kPerSecond + 0.5 + i % 7, id);
         }
         for (int i = 0; i < 4; ++i) {
-          world.At(30 + 30 * i,
-                   [&world] { world.CrashNode(world.OwnerOf(0), Seconds(2)); });
+          simulation.At(30 + 30 * i, [&simulation] {
+            simulation.CrashNode(simulation.OwnerOf(0), Seconds(2));
+          });
         }
-        world.CalmFrom(125);
+        simulation.CalmFrom(125);
       },
-      [](World& world) {
-        EXPECT_EQ(world.accepted(), kJobs);
-        EXPECT_GT(world.cancelled(), kJobs / 10);
+      [](ClusterSimulation& simulation) {
+        EXPECT_EQ(simulation.accepted(), kJobs);
+        EXPECT_GT(simulation.cancelled(), kJobs / 10);
       });
 }
 
@@ -134,22 +144,25 @@
 // (it ends), and jobs are called off all through these seconds.
 TEST(CompoundFailure, CancellationsWhilePartitionsChangeHands) {
   for (bool handed_over : {false, true}) {
-    Play([](WorldConfig& config) { config.jobs = 40; },
-         [handed_over](World& world) {
-           world.At(30, [&world, handed_over] {
-             size_t owner = world.OwnerOf(0);
+    Play([](SimulationConfig& config) { config.jobs = 40; },
+         [handed_over](ClusterSimulation& simulation) {
+           simulation.At(30, [&simulation, handed_over] {
+             size_t owner = simulation.OwnerOf(0);
              if (handed_over) {
-               world.CutNode(owner, {.workers = true}, 12);
+               simulation.CutNode(owner, {.workers = true}, 12);
              } else {
-               world.CrashNode(owner, Seconds(5));
+               simulation.CrashNode(owner, Seconds(5));
              }
            });
            for (int i = 0; i < 16; ++i) {
-             world.At(30 + 0.4 * i, [&world] { world.CancelNow(1, 0); });
+             simulation.At(30 + 0.4 * i,
+                           [&simulation] { simulation.CancelNow(1, 0); });
            }
-           world.CalmFrom(45);
+           simulation.CalmFrom(45);
          },
-         [](World& world) { EXPECT_GT(world.cancelled(), 5); });
+         [](ClusterSimulation& simulation) {
+           EXPECT_GT(simulation.cancelled(), 5);
+         });
   }
 }
 
@@ -157,40 +170,46 @@
 // and go on from there.
 TEST(CompoundFailure, TransactionsAreCarriedOutAndOnlyTheirAnswersAreLost) {
   Play(
-      [](WorldConfig& config) {
+      [](SimulationConfig& config) {
         config.jobs = 40;
         config.longest_run_s = 12;
         config.cancel_share = 0.2;
       },
-      [](World& world) {
-        world.At(3, [&world] { world.LoseWriteAnswers(0.4, 80); });
-        world.At(5, [&world] { world.WatchAnswersClosely(80); });
+      [](ClusterSimulation& simulation) {
+        simulation.At(3,
+                      [&simulation] { simulation.LoseWriteAnswers(0.4, 80); });
+        simulation.At(5, [&simulation] { simulation.WatchAnswersClosely(80); });
         for (int i = 0; i < 4; ++i) {
-          world.At(15 + 15 * i, [&world] {
-            world.CrashNode(world.OwnerOf(0), Millis(400));
+          simulation.At(15 + 15 * i, [&simulation] {
+            simulation.CrashNode(simulation.OwnerOf(0), Millis(400));
           });
         }
-        world.CalmFrom(100);
+        simulation.CalmFrom(100);
       });
 }
 
 // Stops of the former owner arrive after the new owner has shown its fencing
 // token and started other tasks there.
 TEST(CompoundFailure, CommandsOfADeposedLeaderArriveAfterTheNewLeaders) {
-  Play([](WorldConfig& config) { config.jobs = 40; },
-       [](World& world) {
-         world.At(20, [&world] { world.DelayCommands(0.9, 40); });
+  Play([](SimulationConfig& config) { config.jobs = 40; },
+       [](ClusterSimulation& simulation) {
+         simulation.At(20,
+                       [&simulation] { simulation.DelayCommands(0.9, 40); });
          for (int i = 0; i < 3; ++i) {
-           world.At(25 + 12 * i, [&world] { world.CancelNow(4, 0); });
+           simulation.At(25 + 12 * i,
+                         [&simulation] { simulation.CancelNow(4, 0); });
            // Deposed but alive: it keeps its workers until they see the fencing
            // token.
-           world.At(25.3 + 12 * i, [&world] {
-             world.CutNode(world.OwnerOf(0), {.state = true, .peers = true}, 7);
+           simulation.At(25.3 + 12 * i, [&simulation] {
+             simulation.CutNode(simulation.OwnerOf(0),
+                                {.state = true, .peers = true}, 7);
            });
          }
-         world.CalmFrom(80);
+         simulation.CalmFrom(80);
        },
-       [](World& world) { EXPECT_GT(world.cancelled(), 0); });
+       [](ClusterSimulation& simulation) {
+         EXPECT_GT(simulation.cancelled(), 0);
+       });
 }
 
 }  // namespace
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -1,15 +1,16 @@
 // The pieces of the core by themselves: what proves a task to be gone, what a
-// worker is told, what the state cache makes of changes, who has to make room.
+// worker is told, what the state cache makes of changes, who has to make
+// capacity.
 #include <gtest/gtest.h>
 
 #include <map>
 #include <random>
 #include <string>
 
+#include "core/autoscaler.h"
 #include "core/budget.h"
 #include "core/controller.h"
 #include "core/demand.h"
-#include "core/fleet.h"
 #include "core/hash.h"
 #include "core/machine.h"
 #include "core/placement.h"
@@ -29,7 +30,7 @@
   spec.team = "red";
   spec.job_class = "x";
   spec.tasks = tasks;
-  spec.need = Resources::FromDecimals(cpus, 0, 1);
+  spec.resources = Resources::FromDecimals(cpus, 0, 1);
   spec.image = "img";
   spec.spot = true;
   spec.estimate = Seconds(10);
@@ -50,7 +51,7 @@
   ChunkRecord record;
   record.assigned = std::move(assigned);
   for (uint32_t task = 0; task < done; ++task) AddTask(record.done, task);
-  return {keys::Segment(0, static_cast<uint32_t>(mod_revision % kLeastSlots)),
+  return {keys::Segment(0, static_cast<uint32_t>(mod_revision % kMinSlots)),
           SegmentRecord{{{id, chunk, std::move(record)}}}, mod_revision};
 }
 
@@ -125,7 +126,7 @@
   EXPECT_EQ(Ask(), AttemptOutcome::kDone);
   machine_.heartbeat->tasks[0].cause = ExitCause::kError;
   EXPECT_EQ(Ask(), AttemptOutcome::kFailed);
-  machine_.heartbeat->tasks[0].cause = ExitCause::kNoRoom;
+  machine_.heartbeat->tasks[0].cause = ExitCause::kNoCapacity;
   EXPECT_EQ(Ask(), AttemptOutcome::kRefused);
   machine_.heartbeat->tasks[0].cause = ExitCause::kStopped;
   EXPECT_EQ(Ask(), AttemptOutcome::kGone);
@@ -200,14 +201,14 @@
 // still has the key's earlier values.
 TEST(StateCache, ADeletedKeyDoesNotComeBack) {
   StateCache state_cache;
-  Change put{keys::Rental("r-1"), RentalRecord{"g8", "a"}, 4};
-  state_cache.Apply({keys::Rental("r-1"), std::nullopt, 6});
+  Change put{keys::InstanceRequest("r-1"), InstanceRequestRecord{"g8", "a"}, 4};
+  state_cache.Apply({keys::InstanceRequest("r-1"), std::nullopt, 6});
   state_cache.Apply(put);
-  EXPECT_TRUE(state_cache.rentals().empty());
+  EXPECT_TRUE(state_cache.instance_requests().empty());
   state_cache.AdvanceTo(6);
   put.mod_revision = 8;
   state_cache.Apply(put);
-  EXPECT_EQ(state_cache.rentals().size(), 1u);
+  EXPECT_EQ(state_cache.instance_requests().size(), 1u);
 }
 
 // The segments of a list come in the order of their keys: an older version must
@@ -221,7 +222,7 @@
   EXPECT_EQ(state_cache.FindJob("run-1")->assigned, 0u);
   state_cache.Apply(ChunkChange("run-1", 1, 5, {{9, 1, "m-1", "a"}}));
   EXPECT_EQ(state_cache.FindJob("run-1")->assigned, 1u);
-  EXPECT_GT(state_cache.FindJob("run-1")->spec().need.cpus, 0);
+  EXPECT_GT(state_cache.FindJob("run-1")->spec().resources.cpus, 0);
   EXPECT_EQ(state_cache.open_jobs().size(), 1u);
   state_cache.Apply(ChunkChange("run-1", 1, 10, {}));
   state_cache.AdvanceTo(10);
@@ -460,12 +461,12 @@
       EXPECT_EQ(chunk->record, record);
     }
   }
-  EXPECT_EQ(stored.size(), kLeastSlots);
+  EXPECT_EQ(stored.size(), kMinSlots);
 }
 
 // A partition whose machines hold far more tasks than the ring's first slots
-// can say: every change still finds room, ends too, and as little is copied
-// forward as in a ring with room to spare.
+// can say: every change still finds capacity, ends too, and as little is copied
+// forward as in a ring with capacity to spare.
 TEST(Segments, TheRingGrowsWithWhatItHolds) {
   constexpr size_t kBytes = 2000;
   constexpr uint32_t kJobs = 800;
@@ -496,8 +497,8 @@
     state_cache.AdvanceTo(mod_revision);
   };
   for (uint32_t job = 0; job < kJobs; ++job) store(job, 8);
-  EXPECT_GT(state_cache.LiveBytes(0), kLeastSlots * kBytes);
-  EXPECT_GT(state_cache.SlotCount(0), 2 * kLeastSlots);
+  EXPECT_GT(state_cache.LiveBytes(0), kMinSlots * kBytes);
+  EXPECT_GT(state_cache.SlotCount(0), 2 * kMinSlots);
   copied = 0;
   for (uint32_t job = 0; job < kJobs; ++job) store(job, 0);
   EXPECT_LT(copied, 12 * kJobs);
@@ -505,7 +506,7 @@
 }
 
 // A ring that was filled when values were eight times as large: every change
-// finds room under the smaller limits, nothing is lost, and slots are
+// finds capacity under the smaller limits, nothing is lost, and slots are
 // overwritten again once they hold little.
 TEST(Segments, LargerSegmentsAreEmptiedInSteps) {
   constexpr uint32_t kJobsInSlot = 40;
@@ -525,11 +526,11 @@
     }
     return SegmentRecord::Entry{"run-" + std::to_string(job), 0, record};
   };
-  constexpr uint32_t kJobs = kLeastSlots * kJobsInSlot;
+  constexpr uint32_t kJobs = kMinSlots * kJobsInSlot;
   for (uint32_t job = 0; job < kJobs; ++job) {
     apply(JobChange(Spec("run-" + std::to_string(job), 8, 1), ++mod_revision));
   }
-  for (uint32_t slot = 0; slot < kLeastSlots; ++slot) {
+  for (uint32_t slot = 0; slot < kMinSlots; ++slot) {
     SegmentRecord segment;
     for (uint32_t n = 0; n < kJobsInSlot; ++n) {
       segment.entries.push_back(bind(slot * kJobsInSlot + n, 1));
@@ -552,7 +553,7 @@
     }
     state_cache.AdvanceTo(mod_revision);
   }
-  EXPECT_LT(state_cache.SlotCount(0), kMostSlots / 2);
+  EXPECT_LT(state_cache.SlotCount(0), kMaxSlots / 2);
   StateCache reader;
   for (const auto& [key, change] : stored) {
     if (key.starts_with(keys::kJobs)) reader.Apply(change);
@@ -841,26 +842,29 @@
 
 // Work is only sent where its tasks fit: not to many machines with a little
 // room each, nor to spot machines that it may not use.
-TEST(RoomBook, CountsWholeTasks) {
+TEST(CapacityTable, CountsWholeTasks) {
   SteadyTime now{Seconds(10)};
   auto cpus = [](double n) { return Resources::FromDecimal(n); };
-  RoomBook book(3);
-  FreeRoom scattered;
+  CapacityTable book(3);
+  FreeCapacity scattered;
   for (int i = 0; i < 8; ++i) scattered.AddMachine(cpus(3), false);
-  FreeRoom whole;
+  FreeCapacity whole;
   whole.AddMachine(cpus(8), true);
   book.Update(0, scattered, now);
   book.Update(1, whole, now);
   JobSpec small = Spec("run-1", 4, 1);
   JobSpec large = Spec("run-2", 4, 4);
-  EXPECT_EQ(book.Roomiest(small, 2, {}, now), std::pair(0u, int64_t{24}));
-  EXPECT_EQ(book.Roomiest(large, 2, {}, now), std::pair(1u, int64_t{2}));
+  EXPECT_EQ(book.MostFreeCapacity(small, 2, {}, now),
+            std::pair(0u, int64_t{24}));
+  EXPECT_EQ(book.MostFreeCapacity(large, 2, {}, now),
+            std::pair(1u, int64_t{2}));
   large.spot = false;
-  EXPECT_EQ(book.Roomiest(large, 2, {}, now), std::pair(2u, int64_t{0}));
+  EXPECT_EQ(book.MostFreeCapacity(large, 2, {}, now),
+            std::pair(2u, int64_t{0}));
   large.spot = true;
-  book.Deal(1, large, 2);
+  book.Reserve(1, large, 2);
   EXPECT_EQ(book.Tasks(1, large, now), 0);
-  EXPECT_EQ(book.NextWithRoom(small, 1, now).first, 0u);
+  EXPECT_EQ(book.NextWithCapacity(small, 1, now).first, 0u);
   EXPECT_EQ(book.Tasks(0, small, now + Seconds(3)), 0);
 }
 
@@ -880,12 +884,12 @@
 }
 
 TEST(Resources, SumsOfDecimalsStayExact) {
-  Resources need = Resources::FromDecimals(0.1, 0, 2.7);
-  Resources room = Resources::FromDecimals(1, 0, 27);
-  EXPECT_EQ(need.CountIn(room, 100), 10);
+  Resources resources = Resources::FromDecimals(0.1, 0, 2.7);
+  Resources capacity = Resources::FromDecimals(1, 0, 27);
+  EXPECT_EQ(resources.CountIn(capacity, 100), 10);
   Resources used;
-  for (int i = 0; i < 10; ++i) used += need;
-  EXPECT_EQ(used, room);
+  for (int i = 0; i < 10; ++i) used += resources;
+  EXPECT_EQ(used, capacity);
 }
 
 TEST(TokenBucket, HoldsItsRate) {
--- a/tests/fakes/cloud.cc
+++ b/tests/fakes/cloud.cc
@@ -14,10 +14,10 @@
 namespace {
 constexpr size_t kItems = 10000;
 constexpr size_t kDepth = 16;
-constexpr uint64_t kMostRented = 50;
+constexpr uint64_t kMaxCreated = 50;
 }  // namespace
 
-void Cloud::Remember(SteadyTime now) {
+void Cloud::RecordOutcomes(SteadyTime now) {
   history_.push_back({now, machines_});
   while (history_.size() > 1 &&
          history_[1].first + 2 * config_.list_lag < now) {
@@ -29,12 +29,12 @@
                       SteadyTime now) {
   auto it = machines_.find(name);
   if (it != machines_.end()) it->second.status = status;
-  Remember(now);
+  RecordOutcomes(now);
 }
 
 void Cloud::Remove(const std::string& name, SteadyTime now) {
   machines_.erase(name);
-  Remember(now);
+  RecordOutcomes(now);
 }
 
 HttpReply Cloud::Handle(std::string_view method, const std::string& target,
@@ -54,7 +54,8 @@
       }
       return {200, out.Take()};
     }
-    if (method == "POST" && path == "/rentals") return Rent(body, now);
+    if (method == "POST" && path == "/rentals")
+      return CreateInstances(body, now);
     if (method == "POST" && path == "/rentals/delete") return Delete(body, now);
     if (method == "GET" && path == "/rentals") return List(target, now);
   } catch (const Malformed& problem) {
@@ -63,16 +64,16 @@
   return Error(404, "no such path");
 }
 
-HttpReply Cloud::Rent(const std::string& body, SteadyTime now) {
+HttpReply Cloud::CreateInstances(const std::string& body, SteadyTime now) {
   Message message(body, kItems, kDepth);
   Fields in(message.root());
   std::string request = in.Text("hire");
-  uint64_t count = in.Count("count", kMostRented);
+  uint64_t count = in.Count("count", kMaxCreated);
   Machine wanted;
   wanted.type = in.Text("rig");
   wanted.zone = in.Text("yard");
   wanted.spot = in.Flag("loaners");
-  wanted.rented = now;
+  wanted.created = now;
   if (!answered_.contains(request)) {
     size_t used = 0;
     for (const auto& [name, machine] : machines_) {
@@ -85,11 +86,11 @@
       machine.name = fmt::format("m-{:06}", last_machine_++);
       names.push_back(machine.name);
       machines_[machine.name] = machine;
-      if (on_rent) on_rent(machine);
+      if (on_create) on_create(machine);
     }
     if (names.empty()) return Error(503, "no capacity");
     answered_[request] = names;
-    Remember(now);
+    RecordOutcomes(now);
   }
   Packer out;
   out.Map(1).Key("tines").Value(answered_[request]);
@@ -105,7 +106,7 @@
     std::string name = Fields::AsText(names.ptr[i], "tines");
     if (machines_.erase(name) > 0 && on_delete) on_delete(name);
   }
-  Remember(now);
+  RecordOutcomes(now);
   return {200, Packer().Map(0).Take()};
 }
 
@@ -137,7 +138,7 @@
     out.Map(7).Pair("uid", machine->name).Pair("addr", machine->address);
     out.Pair("rig", machine->type).Pair("yard", machine->zone);
     out.Pair("loaners", machine->spot).Pair("status", machine->status);
-    out.Pair("age_s", ToSeconds(then - machine->rented));
+    out.Pair("age_s", ToSeconds(then - machine->created));
   }
   out.Pair("has_next", more);
   return {200, out.Take()};
--- a/tests/fakes/cloud.h
+++ b/tests/fakes/cloud.h
@@ -33,7 +33,7 @@
     std::string zone;
     bool spot = false;
     std::string status = "starting";
-    SteadyTime rented{};
+    SteadyTime created{};
   };
   struct Config {
     std::vector<Type> types = {Type{}};
@@ -41,7 +41,7 @@
     Duration list_lag{Millis(2000)};
   };
   // Called when a machine is rented, and when it is gone by deletion.
-  std::function<void(const Machine&)> on_rent;
+  std::function<void(const Machine&)> on_create;
   std::function<void(const std::string&)> on_delete;
 
   explicit Cloud(Config config) : config_(std::move(config)) {}
@@ -57,8 +57,8 @@
   bool outage = false;
 
  private:
-  void Remember(SteadyTime now);
-  HttpReply Rent(const std::string& body, SteadyTime now);
+  void RecordOutcomes(SteadyTime now);
+  HttpReply CreateInstances(const std::string& body, SteadyTime now);
   HttpReply Delete(const std::string& body, SteadyTime now);
   HttpReply List(const std::string& target, SteadyTime now);
 
--- a/tests/fakes/state_service.cc
+++ b/tests/fakes/state_service.cc
@@ -15,8 +15,8 @@
 
 constexpr size_t kItems = 100000;
 constexpr size_t kDepth = 32;
-constexpr size_t kMostTransaction = size_t{64} * 1024;
-constexpr size_t kMostPage = size_t{512} * 1024;
+constexpr size_t kMaxTransaction = size_t{64} * 1024;
+constexpr size_t kMaxPage = size_t{512} * 1024;
 
 std::string Repack(const msgpack::object& value) {
   msgpack::sbuffer buffer;
@@ -138,7 +138,7 @@
   Message message(body, kItems, kDepth);
   largest_transaction_ =
       std::max(largest_transaction_, JsonSize(message.root()));
-  if (JsonSize(message.root()) > kMostTransaction) {
+  if (JsonSize(message.root()) > kMaxTransaction) {
     return Error(400, "too large");
   }
   Fields in(message.root());
@@ -201,7 +201,7 @@
   for (const auto& [key, entry] : entries_) {
     if (!key.starts_with(prefix) || key <= after) continue;
     bytes += key.size() + entry.value.size();
-    if (rows.size() >= most || (!rows.empty() && bytes > kMostPage)) {
+    if (rows.size() >= most || (!rows.empty() && bytes > kMaxPage)) {
       more = true;
       break;
     }
--- a/tests/fakes/worker.cc
+++ b/tests/fakes/worker.cc
@@ -60,7 +60,7 @@
     if (task.state == "exited" || now < task.next) continue;
     if (task.state == "pulling") {
       images_[task.info.image] = true;
-      if (config_.sick || task.info.broken) {
+      if (config_.faulty || task.info.broken) {
         Exit(task, key, "error");
       } else if (finished_.contains(key.first)) {
         Exit(task, key, "done");
@@ -95,8 +95,8 @@
   out.Pair("rig", config_.type).Pair("yard", config_.zone);
   out.Pair("loaners", config_.spot).Pair("shift", agent_epoch_);
   out.Pair("tally", seq_).Pair("baton", fencing_token_).Key("recall_s");
-  if (notice) {
-    out.Value(ToSeconds(*notice));
+  if (preemption_notice) {
+    out.Value(ToSeconds(*preemption_notice));
   } else {
     out.Null();
   }
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -39,7 +39,7 @@
     double cpus = 8;
     double memory_gb = 32;
     Duration lease{Millis(6000)};
-    bool sick = false;           // fails every task
+    bool faulty = false;         // fails every task
     bool ignores_stops = false;  // a fault for tests of the tests
   };
   using Lookup = std::function<std::optional<TaskInfo>(const std::string&)>;
@@ -68,7 +68,7 @@
   uint64_t agent_epoch() const { return agent_epoch_; }
   uint64_t fencing_token() const { return fencing_token_; }
   const Config& config() const { return config_; }
-  std::optional<Duration> notice;
+  std::optional<Duration> preemption_notice;
   bool hanging = false;
 
  private:
--- a/tests/front_test.cc
+++ b/tests/http_server_test.cc
@@ -1,5 +1,5 @@
 // The address for users and workers, over loopback sockets.
-#include "io/front.h"
+#include "io/http_server.h"
 
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -14,11 +14,11 @@
 namespace pitchfall::io {
 namespace {
 
-class FrontTest : public ::testing::Test {
+class HttpServerTest : public ::testing::Test {
  protected:
-  static constexpr size_t kMost = 3;
+  static constexpr size_t kMaxNumber = 3;
 
-  FrontTest() : base_(event_base_new()) {
+  HttpServerTest() : base_(event_base_new()) {
     // A port that nobody else has: bound by the kernel's choice, then let go.
     int probe = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in sin = ToSockaddr({"127.0.0.1", 1});
@@ -28,16 +28,16 @@
     EXPECT_EQ(getsockname(probe, reinterpret_cast<sockaddr*>(&sin), &size), 0);
     close(probe);
     address_ = {"127.0.0.1", ntohs(sin.sin_port)};
-    front_ = std::make_unique<Front>(
-        base_.get(), address_, kMost, [this](Command command) {
+    http_server_ = std::make_unique<HttpServer>(
+        base_.get(), address_, kMaxNumber, [this](Command command) {
           if (auto* poll = std::get_if<PollJob>(&command)) {
             held_.push_back(poll->request);
           } else if (auto* check = std::get_if<HealthCheck>(&command)) {
-            front_->Answer({check->request, 200, {}, {}});
+            http_server_->Answer({check->request, 200, {}, {}});
           }
         });
   }
-  ~FrontTest() override {
+  ~HttpServerTest() override {
     for (int fd : sockets_) close(fd);
   }
 
@@ -75,19 +75,19 @@
   EventBase base_;
   Address address_;
   std::vector<RequestId> held_;
-  std::unique_ptr<Front> front_;
+  std::unique_ptr<HttpServer> http_server_;
   std::vector<int> sockets_;
 };
 
 // The sockets beyond are for the process's own calls: without them it could not
 // reach the state service any more.
-TEST_F(FrontTest, TurnsAwayMoreConnectionsThanItHasSocketsFor) {
-  for (size_t i = 0; i < kMost; ++i) {
+TEST_F(HttpServerTest, TurnsAwayMoreConnectionsThanItHasSocketsFor) {
+  for (size_t i = 0; i < kMaxNumber; ++i) {
     int fd = Connect();
     Get(fd, "/api/jobs/run-000001");
     EXPECT_EQ(Read(fd), "");
   }
-  ASSERT_EQ(held_.size(), kMost);
+  ASSERT_EQ(held_.size(), kMaxNumber);
   int extra = Connect();
   Get(extra, "/api/jobs/run-000001");
   std::string answer = Read(extra);
@@ -101,7 +101,7 @@
   close(probe);
   sockets_.pop_back();
   // One that has gone leaves its place to the next.
-  front_->Answer({held_.front(), 404, Problem{"none"}, {}});
+  http_server_->Answer({held_.front(), 404, Problem{"none"}, {}});
   EXPECT_TRUE(Read(sockets_.front()).starts_with("HTTP/1.1 404"));
   close(sockets_.front());
   sockets_.erase(sockets_.begin());
@@ -109,12 +109,12 @@
   int next = Connect();
   Get(next, "/api/jobs/run-000001");
   EXPECT_EQ(Read(next), "");
-  EXPECT_EQ(held_.size(), kMost + 1);
+  EXPECT_EQ(held_.size(), kMaxNumber + 1);
 }
 
 // However a connection ends, its place is free again: closed by the client
 // before, while or after its request is answered, or by this side.
-TEST_F(FrontTest, EveryEndOfAConnectionFreesItsPlace) {
+TEST_F(HttpServerTest, EveryEndOfAConnectionFreesItsPlace) {
   for (int round = 0; round < 40; ++round) {
     int fd = Connect();
     if (round % 4 != 0) Get(fd, "/api/jobs/run-000001");
@@ -125,7 +125,7 @@
       Turn();
     }
     for (RequestId id : std::exchange(held_, {})) {
-      front_->Answer({id, 503, Problem{"later"}, {}, round % 8 == 3});
+      http_server_->Answer({id, 503, Problem{"later"}, {}, round % 8 == 3});
     }
     Turn();
     if (round % 4 != 2) {
@@ -134,16 +134,16 @@
     }
     Turn();
     for (RequestId id : std::exchange(held_, {})) {
-      front_->Answer({id, 404, Problem{"none"}, {}});
+      http_server_->Answer({id, 404, Problem{"none"}, {}});
     }
     Turn();
   }
-  for (size_t i = 0; i < kMost; ++i) {
+  for (size_t i = 0; i < kMaxNumber; ++i) {
     int fd = Connect();
     Get(fd, "/api/jobs/run-000001");
     EXPECT_EQ(Read(fd), "");
   }
-  EXPECT_EQ(held_.size(), kMost);
+  EXPECT_EQ(held_.size(), kMaxNumber);
 }
 
 }  // namespace
--- a/tests/playground/platform.cc
+++ b/tests/local_cluster/local_cluster.cc
@@ -1,4 +1,4 @@
-#include "playground/platform.h"
+#include "local_cluster/local_cluster.h"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
 #include "io/clock.h"
 #include "wire/pack.h"
 
-namespace pitchfall::playground {
+namespace pitchfall::local_cluster {
 namespace {
 
 constexpr Duration kStep = Millis(50);
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-struct Platform::Box {
+struct LocalCluster::SimulatedMachine {
   std::unique_ptr<fakes::Worker> worker;
   std::vector<std::unique_ptr<io::HttpClient>> nodes;
   size_t node = 0;
@@ -45,8 +45,9 @@
   return ntohs(address.sin_port);
 }
 
-Platform::Platform(event_base* base, std::vector<Controller> controllers,
-                   Duration task_run)
+LocalCluster::LocalCluster(event_base* base,
+                           std::vector<Controller> controllers,
+                           Duration task_run)
     : base_(base),
       controllers_(std::move(controllers)),
       task_run_(task_run),
@@ -57,9 +58,9 @@
         config.list_lag = Millis(500);
         return config;
       }()) {
-  state_port_ = Serve(state_server_, &Platform::State);
-  cloud_port_ = Serve(cloud_server_, &Platform::Cloud);
-  cloud_.on_rent = [this](const fakes::Cloud::Machine& machine) {
+  state_port_ = Serve(state_server_, &LocalCluster::State);
+  cloud_port_ = Serve(cloud_server_, &LocalCluster::Cloud);
+  cloud_.on_create = [this](const fakes::Cloud::Machine& machine) {
     booting_.push_back({Now() + kBoot, machine});
   };
   cloud_.on_delete = [this](const std::string& name) {
@@ -72,11 +73,11 @@
   event_add(step_.get(), &tv);
 }
 
-Platform::~Platform() = default;
+LocalCluster::~LocalCluster() = default;
 
-SteadyTime Platform::Now() const { return io::ReadClocks().steady; }
+SteadyTime LocalCluster::Now() const { return io::ReadClocks().steady; }
 
-uint16_t Platform::Serve(io::HttpServer& server, Handler handler) {
+uint16_t LocalCluster::Serve(io::EvhttpHandle& server, Handler handler) {
   server.reset(evhttp_new(base_));
   routes_.push_back(std::make_unique<Route>(Route{this, handler}));
   evhttp_set_gencb(server.get(), OnRequest, routes_.back().get());
@@ -87,7 +88,7 @@
   return port;
 }
 
-void Platform::OnRequest(evhttp_request* request, void* arg) {
+void LocalCluster::OnRequest(evhttp_request* request, void* arg) {
   auto* route = static_cast<Route*>(arg);
   evbuffer* input = evhttp_request_get_input_buffer(request);
   std::string body(evbuffer_get_length(input), '\0');
@@ -100,19 +101,19 @@
   evhttp_send_reply(request, reply.status, nullptr, nullptr);
 }
 
-fakes::HttpReply Platform::State(std::string_view method,
-                                 const std::string& target,
-                                 const std::string& body) {
+fakes::HttpReply LocalCluster::State(std::string_view method,
+                                     const std::string& target,
+                                     const std::string& body) {
   return state_.Handle(method, target, body, Now());
 }
 
-fakes::HttpReply Platform::Cloud(std::string_view method,
-                                 const std::string& target,
-                                 const std::string& body) {
+fakes::HttpReply LocalCluster::Cloud(std::string_view method,
+                                     const std::string& target,
+                                     const std::string& body) {
   return cloud_.Handle(method, target, body, Now());
 }
 
-void Platform::Boot(const fakes::Cloud::Machine& machine) {
+void LocalCluster::Boot(const fakes::Cloud::Machine& machine) {
   if (!cloud_.machines().contains(machine.name)) return;
   const auto& type = cloud_.config().types.front();
   fakes::Worker::Config config;
@@ -129,23 +130,23 @@
     info.run = task_run_;
     return std::optional(info);
   };
-  auto box = std::make_unique<Box>();
-  box->worker = std::make_unique<fakes::Worker>(
+  auto simulated = std::make_unique<SimulatedMachine>();
+  simulated->worker = std::make_unique<fakes::Worker>(
       config, lookup, [](const std::string&, fakes::Worker::TaskEvent) {},
       Now());
   for (const Controller& controller : controllers_) {
-    box->nodes.push_back(std::make_unique<io::HttpClient>(
+    simulated->nodes.push_back(std::make_unique<io::HttpClient>(
         base_, io::ParseAddress(controller.front), 1));
   }
   cloud_.SetStatus(machine.name, "running", Now());
-  machines_[machine.name] = std::move(box);
+  machines_[machine.name] = std::move(simulated);
 }
 
-void Platform::OnStep(evutil_socket_t, short, void* arg) {
-  static_cast<Platform*>(arg)->Step();
+void LocalCluster::OnStep(evutil_socket_t, short, void* arg) {
+  static_cast<LocalCluster*>(arg)->Step();
 }
 
-void Platform::Step() {
+void LocalCluster::Step() {
   gone_.clear();
   SteadyTime now = Now();
   for (auto& [at, machine] : std::exchange(booting_, {})) {
@@ -155,28 +156,30 @@
       booting_.push_back({at, machine});
     }
   }
-  for (auto& [name, box] : machines_) {
-    if (box->worker->Advance(now)) box->next_heartbeat = now;
-    if (!box->waiting && now >= box->next_heartbeat) Heartbeat(*box);
+  for (auto& [name, simulated] : machines_) {
+    if (simulated->worker->Advance(now)) simulated->next_heartbeat = now;
+    if (!simulated->waiting && now >= simulated->next_heartbeat)
+      Heartbeat(*simulated);
   }
 }
 
-void Platform::Heartbeat(Box& box) {
+void LocalCluster::Heartbeat(SimulatedMachine& simulated) {
   SteadyTime sent = Now();
-  uint64_t agent_epoch = box.worker->agent_epoch();
-  box.waiting = true;
+  uint64_t agent_epoch = simulated.worker->agent_epoch();
+  simulated.waiting = true;
   wire::HttpRequest request;
   request.post = true;
   request.path = "/checkin";
-  request.body = box.worker->MakeHeartbeat(sent);
-  box.nodes[box.node]->Send(
+  request.body = simulated.worker->MakeHeartbeat(sent);
+  simulated.nodes[simulated.node]->Send(
       std::move(request), kHeartbeatTimeout,
-      [this, &box, sent, agent_epoch](int status, std::string_view body) {
+      [this, &simulated, sent, agent_epoch](int status, std::string_view body) {
         SteadyTime now = Now();
-        box.waiting = false;
-        box.next_heartbeat = now + kHeartbeatInterval;
+        simulated.waiting = false;
+        simulated.next_heartbeat = now + kHeartbeatInterval;
         if (status == 200) {
-          box.worker->TakeAnswer(std::string(body), sent, agent_epoch, now);
+          simulated.worker->TakeAnswer(std::string(body), sent, agent_epoch,
+                                       now);
           return;
         }
         std::string owner;
@@ -184,15 +187,15 @@
           wire::Message message(body, 100, 4);
           owner = wire::Fields(message.root()).TextOr("foreman", "");
         }
-        size_t next = (box.node + 1) % controllers_.size();
+        size_t next = (simulated.node + 1) % controllers_.size();
         for (size_t i = 0; i < controllers_.size(); ++i) {
           if (controllers_[i].label == owner) next = i;
         }
-        box.node = next;
+        simulated.node = next;
       });
 }
 
-std::string Platform::SettingsFor(size_t index) const {
+std::string LocalCluster::SettingsFor(size_t index) const {
   const Controller& me = controllers_[index];
   std::string text = fmt::format(
       "label = \"{}\"\nsite = \"a\"\nfront = \"{}\"\npeer_bind = \"{}\"\n\n",
@@ -218,4 +221,4 @@
   return text;
 }
 
-}  // namespace pitchfall::playground
+}  // namespace pitchfall::local_cluster
--- a/tests/playground/platform.h
+++ b/tests/local_cluster/local_cluster.h
@@ -15,7 +15,7 @@
 #include "io/event.h"
 #include "io/http_client.h"
 
-namespace pitchfall::playground {
+namespace pitchfall::local_cluster {
 
 struct Controller {
   std::string label;
@@ -23,25 +23,25 @@
   std::string peer;
 };
 
-class Platform {
+class LocalCluster {
  public:
-  Platform(event_base* base, std::vector<Controller> controllers,
-           Duration task_run);
-  ~Platform();
-  Platform(const Platform&) = delete;
-  Platform& operator=(const Platform&) = delete;
+  LocalCluster(event_base* base, std::vector<Controller> controllers,
+               Duration task_run);
+  ~LocalCluster();
+  LocalCluster(const LocalCluster&) = delete;
+  LocalCluster& operator=(const LocalCluster&) = delete;
 
   // The settings file for one of the controllers.
   std::string SettingsFor(size_t index) const;
   size_t machines() const { return machines_.size(); }
 
  private:
-  struct Box;
-  using Handler = fakes::HttpReply (Platform::*)(std::string_view,
-                                                 const std::string&,
-                                                 const std::string&);
+  struct SimulatedMachine;
+  using Handler = fakes::HttpReply (LocalCluster::*)(std::string_view,
+                                                     const std::string&,
+                                                     const std::string&);
 
-  uint16_t Serve(io::HttpServer& server, Handler handler);
+  uint16_t Serve(io::EvhttpHandle& server, Handler handler);
   static void OnRequest(evhttp_request* request, void* arg);
   static void OnStep(evutil_socket_t, short, void* arg);
   fakes::HttpReply State(std::string_view method, const std::string& target,
@@ -50,11 +50,11 @@
                          const std::string& body);
   void Boot(const fakes::Cloud::Machine& machine);
   void Step();
-  void Heartbeat(Box& box);
+  void Heartbeat(SimulatedMachine& simulated);
   SteadyTime Now() const;
 
   struct Route {
-    Platform* platform;
+    LocalCluster* platform;
     Handler handler;
   };
 
@@ -64,19 +64,19 @@
   fakes::StateService state_;
   fakes::Cloud cloud_;
   std::vector<std::unique_ptr<Route>> routes_;
-  io::HttpServer state_server_;
-  io::HttpServer cloud_server_;
+  io::EvhttpHandle state_server_;
+  io::EvhttpHandle cloud_server_;
   uint16_t state_port_ = 0;
   uint16_t cloud_port_ = 0;
   std::vector<std::pair<SteadyTime, fakes::Cloud::Machine>> booting_;
-  std::map<std::string, std::unique_ptr<Box>> machines_;
-  std::vector<std::unique_ptr<Box>> gone_;
+  std::map<std::string, std::unique_ptr<SimulatedMachine>> machines_;
+  std::vector<std::unique_ptr<SimulatedMachine>> gone_;
   io::Event step_;
 };
 
 // A port on loopback that nobody listens on at the moment.
 uint16_t FreePort();
 
-}  // namespace pitchfall::playground
+}  // namespace pitchfall::local_cluster
 
 #endif  // PITCHFALL_TESTS_PLAYGROUND_PLATFORM_H_
--- a/tests/playground/main.cc
+++ b/tests/local_cluster/main.cc
@@ -1,4 +1,4 @@
-// pitchfall_playground: a platform of fakes on loopback, and a user's side
+// pitchfall_local_cluster: a platform of fakes on loopback, and a user's side
 // to it. For trying things out by hand; see README.md.
 #include <fmt/format.h>
 
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "playground/platform.h"
+#include "local_cluster/local_cluster.h"
 #include "wire/pack.h"
 
-namespace pitchfall::playground {
+namespace pitchfall::local_cluster {
 namespace {
 
 int Serve(const std::string& folder, double task_s) {
@@ -28,7 +28,7 @@
                            fmt::format("127.0.0.1:{}", FreePort()),
                            fmt::format("127.0.0.1:{}", FreePort())});
   }
-  Platform platform(base.get(), controllers, Seconds(task_s));
+  LocalCluster platform(base.get(), controllers, Seconds(task_s));
   std::filesystem::create_directories(folder);
   for (size_t i = 0; i < controllers.size(); ++i) {
     std::string file = fmt::format("{}/{}.toml", folder, controllers[i].label);
@@ -109,13 +109,13 @@
 }
 
 }  // namespace
-}  // namespace pitchfall::playground
+}  // namespace pitchfall::local_cluster
 
 int main(int argc, char** argv) {
   try {
-    return pitchfall::playground::Run(argc, argv);
+    return pitchfall::local_cluster::Run(argc, argv);
   } catch (const std::exception& problem) {
-    std::fprintf(stderr, "pitchfall_playground: %s\n", problem.what());
+    std::fprintf(stderr, "pitchfall_local_cluster: %s\n", problem.what());
     return EXIT_FAILURE;
   }
 }
--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -14,108 +14,109 @@
 
 constexpr char kService[] = "run-600001";
 
-void MixedConfig(WorldConfig& config) {
+void MixedConfig(SimulationConfig& config) {
   config.begins_with_production = true;
   config.next_value_kb = 2;
   config.next_txn_ops = 4;
 }
 
 // In an order that follows from the seed.
-void Upgrade(World& world, uint64_t seed, double from, double every) {
+void Upgrade(ClusterSimulation& simulation, uint64_t seed, double from,
+             double every) {
   std::vector<size_t> order{0, 1, 2};
   std::mt19937_64 random(seed);
   std::shuffle(order.begin(), order.end(), random);
   for (size_t i = 0; i < order.size(); ++i) {
     double down_s = i % 2 == 0 ? 1 : 0.2;
-    world.At(from + every * static_cast<double>(i),
-             [&world, index = order[i], down_s] {
-               world.UpgradeNode(index, Seconds(down_s));
-             });
+    simulation.At(from + every * static_cast<double>(i),
+                  [&simulation, index = order[i], down_s] {
+                    simulation.UpgradeNode(index, Seconds(down_s));
+                  });
   }
 }
 
 TEST(MixedVersions, UpgradeUnderLoad) {
-  Play(MixedConfig, [](World& world) {
-    Upgrade(world, 1, 20, 15);
-    world.AddServiceAt(70, kService, 4, 2);
-    world.At(75, [&] { world.LowerStateLimits(); });
-    world.At(130, [&] {
-      EXPECT_EQ(world.replicas_up(kService), 4) << world.Told();
+  Play(MixedConfig, [](ClusterSimulation& simulation) {
+    Upgrade(simulation, 1, 20, 15);
+    simulation.AddServiceAt(70, kService, 4, 2);
+    simulation.At(75, [&] { simulation.LowerStateLimits(); });
+    simulation.At(130, [&] {
+      EXPECT_EQ(simulation.replicas_up(kService), 4) << simulation.Story();
     });
-    world.CancelAt(200, kService);
+    simulation.CancelAt(200, kService);
   });
 }
 
 // A standing job is refused until the last controller of the old version is
 // gone, be it for a long time.
 TEST(MixedVersions, StandingJobsWaitForTheLastUpgrade) {
-  Play(MixedConfig, [](World& world) {
-    world.At(20, [&] { world.UpgradeNode(0, Seconds(1)); });
-    world.At(25, [&] { world.UpgradeNode(1, Seconds(1)); });
-    world.AddServiceAt(30, kService, 4, 2);
-    world.At(45, [&] {
-      EXPECT_EQ(world.replicas_up(kService), 0);
-      world.CrashNode(2, Seconds(60));
+  Play(MixedConfig, [](ClusterSimulation& simulation) {
+    simulation.At(20, [&] { simulation.UpgradeNode(0, Seconds(1)); });
+    simulation.At(25, [&] { simulation.UpgradeNode(1, Seconds(1)); });
+    simulation.AddServiceAt(30, kService, 4, 2);
+    simulation.At(45, [&] {
+      EXPECT_EQ(simulation.replicas_up(kService), 0);
+      simulation.CrashNode(2, Seconds(60));
     });
-    world.At(110, [&] { world.UpgradeNode(2, Seconds(1)); });
-    world.At(100, [&] {
-      EXPECT_EQ(world.replicas_up(kService), 4) << world.Told();
+    simulation.At(110, [&] { simulation.UpgradeNode(2, Seconds(1)); });
+    simulation.At(100, [&] {
+      EXPECT_EQ(simulation.replicas_up(kService), 4) << simulation.Story();
     });
-    world.CancelAt(200, kService);
+    simulation.CancelAt(200, kService);
   });
 }
 
 // One that dies before its turn comes back old, also after others have been
 // upgraded and have accepted standing jobs in its absence.
 TEST(MixedVersions, AnOldControllerComesBackAmongNewOnes) {
-  Play(MixedConfig, [](World& world) {
-    world.At(20, [&] { world.UpgradeNode(0, Seconds(0.2)); });
-    world.At(25, [&] { world.UpgradeNode(1, Seconds(0.2)); });
-    world.At(40, [&] { world.CrashNode(2, Seconds(30)); });
-    world.AddServiceAt(50, kService, 4, 2);
+  Play(MixedConfig, [](ClusterSimulation& simulation) {
+    simulation.At(20, [&] { simulation.UpgradeNode(0, Seconds(0.2)); });
+    simulation.At(25, [&] { simulation.UpgradeNode(1, Seconds(0.2)); });
+    simulation.At(40, [&] { simulation.CrashNode(2, Seconds(30)); });
+    simulation.AddServiceAt(50, kService, 4, 2);
     for (int second = 75; second < 85; second += 3) {
-      world.At(second, [&] { world.CrashNode(2, Seconds(0.2)); });
+      simulation.At(second, [&] { simulation.CrashNode(2, Seconds(0.2)); });
     }
     // Then the new ones are away, and the old one has all partitions.
-    world.At(88, [&] {
-      world.CrashNode(0, Seconds(12));
-      world.CrashNode(1, Seconds(12));
+    simulation.At(88, [&] {
+      simulation.CrashNode(0, Seconds(12));
+      simulation.CrashNode(1, Seconds(12));
     });
-    world.At(95, [&] { world.KillMachines(0.3); });
-    world.At(120, [&] { world.UpgradeNode(2, Seconds(1)); });
-    world.At(180, [&] {
-      EXPECT_EQ(world.replicas_up(kService), 4) << world.Told();
+    simulation.At(95, [&] { simulation.KillMachines(0.3); });
+    simulation.At(120, [&] { simulation.UpgradeNode(2, Seconds(1)); });
+    simulation.At(180, [&] {
+      EXPECT_EQ(simulation.replicas_up(kService), 4) << simulation.Story();
     });
-    world.CancelAt(190, kService);
+    simulation.CancelAt(190, kService);
   });
 }
 
-// Upgrades in every order amid random troubles: crashes, cuts, outages of the
+// Upgrades in every order amid random faults: crashes, cuts, outages of the
 // state service, late messages, cancellations; the limits are lowered once all
 // have been upgraded.
 TEST(MixedVersions, KeepTheRulesInRandomSchedules) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     SCOPED_TRACE(seed);
-    WorldConfig config;
+    SimulationConfig config;
     config.seed = seed;
     config.partition_count = seed % 4;
-    config.meeting_troubles = seed % 2 == 0;
-    config.fleet_troubles = seed % 3 == 0;
+    config.compound_faults = seed % 2 == 0;
+    config.fleet_faults = seed % 3 == 0;
     MixedConfig(config);
-    World world(config);
-    Upgrade(world, seed, 15, 2 + static_cast<double>(seed % 5) * 4);
-    world.AddServiceAt(75, kService, 4, 1);
-    world.At(80, [&] { world.LowerStateLimits(); });
-    world.CancelAt(240, kService);
-    world.Run();
-    ExpectRulesKept(world);
+    ClusterSimulation simulation(config);
+    Upgrade(simulation, seed, 15, 2 + static_cast<double>(seed % 5) * 4);
+    simulation.AddServiceAt(75, kService, 4, 1);
+    simulation.At(80, [&] { simulation.LowerStateLimits(); });
+    simulation.CancelAt(240, kService);
+    simulation.Run();
+    ExpectRulesKept(simulation);
   }
 }
 
 // Large records of the version in production outlive the limits under which
 // they were stored: chunks with many tasks on machines, and full segments.
 TEST(MixedVersions, RecordsLargerThanTheNewLimitsAreReplaced) {
-  auto prepare = [](WorldConfig& config) {
+  auto prepare = [](SimulationConfig& config) {
     MixedConfig(config);
     config.jobs = 60;
     config.jobs_within = Seconds(25);
@@ -125,10 +126,11 @@
     config.wide_jobs = 2;
     config.end = Seconds(400);
   };
-  Play(prepare, [](World& world) {
-    Upgrade(world, 3, 30, 3);
-    world.At(42, [&] { world.LowerStateLimits(); });
-    world.At(55, [&] { world.CrashNode(world.OwnerOf(0), Seconds(2)); });
+  Play(prepare, [](ClusterSimulation& simulation) {
+    Upgrade(simulation, 3, 30, 3);
+    simulation.At(42, [&] { simulation.LowerStateLimits(); });
+    simulation.At(
+        55, [&] { simulation.CrashNode(simulation.OwnerOf(0), Seconds(2)); });
   });
 }
 
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -13,12 +13,12 @@
 #include <string>
 #include <vector>
 
-#include "playground/platform.h"
+#include "local_cluster/local_cluster.h"
 #include "wire/pack.h"
 
 extern char** environ;
 
-namespace pitchfall::playground {
+namespace pitchfall::local_cluster {
 namespace {
 
 class Program : public ::testing::Test {
@@ -32,7 +32,7 @@
                               "127.0.0.1:" + std::to_string(FreePort())});
     }
     platform_ =
-        std::make_unique<Platform>(base_.get(), controllers_, Millis(300));
+        std::make_unique<LocalCluster>(base_.get(), controllers_, Millis(300));
     std::string pattern =
         (std::filesystem::temp_directory_path() / "pitchfall-XXXXXX").string();
     folder_ = mkdtemp(pattern.data());
@@ -107,7 +107,7 @@
 
   io::EventBase base_;
   std::vector<Controller> controllers_;
-  std::unique_ptr<Platform> platform_;
+  std::unique_ptr<LocalCluster> platform_;
   std::string folder_;
   std::vector<pid_t> pids_;
 };
@@ -153,4 +153,4 @@
 }
 
 }  // namespace
-}  // namespace pitchfall::playground
+}  // namespace pitchfall::local_cluster
--- a/tests/sim/world.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -1,4 +1,4 @@
-#include "sim/world.h"
+#include "sim/cluster_simulation.h"
 
 #include <fmt/format.h>
 
@@ -16,7 +16,7 @@
 
 constexpr Duration kTick = Millis(25);
 constexpr Duration kHeartbeatTimeout = Millis(4000);
-// The protocol's bound is 90 s; the operators' is 75 s once troubles are over.
+// The protocol's bound is 90 s; the operators' is 75 s once faults are over.
 constexpr Duration kForgottenAfter = Millis(75000);
 constexpr Duration kDeletionKnown = Millis(8000);
 // The operators' bound on waiting beside room.
@@ -29,7 +29,7 @@
 constexpr double kEndlessRunS = 1e6;
 constexpr char kLargeJob[] = "run-900000";
 
-Deployment MakeDeployment(const WorldConfig& config) {
+Deployment MakeDeployment(const SimulationConfig& config) {
   Deployment d;
   d.state = {200, config.state_writes, config.value_kb, config.txn_ops};
   if (config.next_value_kb > 0) {
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-struct World::Node {
+struct ClusterSimulation::Node {
   size_t index = 0;
   uint64_t incarnation = 0;
   std::unique_ptr<SimulatedController> controller;
@@ -94,7 +94,7 @@
   std::map<RequestId, OnAnswer> waiting;
 };
 
-struct World::Box {
+struct ClusterSimulation::SimulatedMachine {
   std::unique_ptr<fakes::Worker> worker;
   std::string zone;
   bool spot = false;
@@ -105,7 +105,7 @@
   SteadyTime last_heartbeat{};
 };
 
-struct World::JobModel {
+struct ClusterSimulation::JobModel {
   JobSpec spec;
   fakes::TaskInfo info;
   bool submitted = false;
@@ -114,7 +114,7 @@
   bool asked_by_name = false;  // by CancelAtEnd or CancelNow
   std::optional<SteadyTime> begun;
   int starts = 0;
-  SteadyTime moved{};  // last start, or no room for one
+  SteadyTime moved{};  // last start, or no capacity for one
   std::optional<SteadyTime> cancelled;
   std::optional<SteadyTime> told_done;
   std::optional<SteadyTime> answered;  // the last question about it
@@ -123,7 +123,7 @@
   bool final() const { return cancelled || told_done; }
 };
 
-World::World(WorldConfig config)
+ClusterSimulation::ClusterSimulation(SimulationConfig config)
     : config_(config),
       random_(config.seed),
       deployment_(MakeDeployment(config)),
@@ -131,7 +131,7 @@
           fakes::StateService::Limits{config.txn_ops, config.value_kb, 10000}),
       cloud_(fakes::Cloud::Config{.capacity = config.capacity}) {
   state_.ignore_conditions = config_.state_ignores_conditions;
-  cloud_.on_rent = [this](const fakes::Cloud::Machine& machine) {
+  cloud_.on_create = [this](const fakes::Cloud::Machine& machine) {
     Duration boot = config_.quick_boots ? Millis(100) : Between(1, 4);
     if (!config_.quick_boots && Chance() < 0.05) return;  // never comes up
     After(boot, [this, machine] {
@@ -149,11 +149,11 @@
     StartNode(i);
   }
   for (int i = 0; i < config_.jobs; ++i) AddJob(i);
-  if (config_.trouble_every > Duration(0)) {
-    After(Between(5, 10), [this] { Trouble(); });
+  if (config_.fault_interval > Duration(0)) {
+    After(Between(5, 10), [this] { InjectFault(); });
   }
-  if (config_.deaf_machines > 0)
-    After(Seconds(30), [this] { DeafenMachines(); });
+  if (config_.inbound_cut_machines > 0)
+    After(Seconds(30), [this] { CutInbound(); });
   if (config_.isolate_a_node) After(Seconds(30), [this] { IsolateNode(); });
   if (config_.crowded) AddCrowd();
   if (config_.wide_jobs > 0) AddWideJobs();
@@ -162,26 +162,27 @@
   After(Seconds(1), [this] { CheckWaiting(); });
 }
 
-World::~World() {
+ClusterSimulation::~ClusterSimulation() {
   nodes_.clear();
   machines_.clear();
 }
 
-void World::Note(std::string what) {
+void ClusterSimulation::Note(std::string what) {
   log_.push_back(fmt::format("{:9.3f} {}", ToSeconds(now_ - SteadyTime{}),
                              std::move(what)));
 }
 
-void World::Violation(const std::string& rule, const std::string& what) {
+void ClusterSimulation::Violation(const std::string& rule,
+                                  const std::string& what) {
   Note("BROKEN " + rule + ": " + what);
   violations_.push_back(rule + ": " + what);
 }
 
-void World::After(Duration delay, std::function<void()> what) {
+void ClusterSimulation::After(Duration delay, std::function<void()> what) {
   events_.push({now_ + delay, ++event_count_, std::move(what)});
 }
 
-void World::Run() {
+void ClusterSimulation::Run() {
   SteadyTime end = now_ + config_.end;
   while (!events_.empty() && events_.top().at <= end) {
     Event event = events_.top();
@@ -219,7 +220,7 @@
   }
 }
 
-std::string World::Told() const {
+std::string ClusterSimulation::Story() const {
   constexpr size_t kLines = 300;
   std::string text;
   for (const std::string& violation : violations_) text += violation + "\n";
@@ -228,13 +229,13 @@
   return text;
 }
 
-int World::accepted() const {
+int ClusterSimulation::accepted() const {
   return static_cast<int>(std::count_if(
       jobs_.begin(), jobs_.end(),
       [](const auto& entry) { return entry.second->accepted.has_value(); }));
 }
 
-int World::finished() const {
+int ClusterSimulation::finished() const {
   return static_cast<int>(
       std::count_if(jobs_.begin(), jobs_.end(), [](const auto& entry) {
         return entry.second->accepted && entry.second->final();
@@ -243,12 +244,12 @@
 
 // ---- Controllers ----
 
-Now World::ClockOf(const Node& node) const {
+Now ClusterSimulation::ClockOf(const Node& node) const {
   return {now_ + node.skew,
           WallTime(now_.time_since_epoch() + Seconds(1e6) + node.skew)};
 }
 
-void World::StartNode(size_t index) {
+void ClusterSimulation::StartNode(size_t index) {
   Node& node = *nodes_[index];
   ++node.incarnation;
   Deployment d = deployment_;
@@ -272,18 +273,18 @@
         [this, index, incarnation] { TickNode(index, incarnation); });
 }
 
-bool World::RunsProduction(const Node& node) const {
+bool ClusterSimulation::RunsProduction(const Node& node) const {
   return config_.begins_with_production && !node.upgraded;
 }
 
-void World::TickNode(size_t index, uint64_t incarnation) {
+void ClusterSimulation::TickNode(size_t index, uint64_t incarnation) {
   Node& node = *nodes_[index];
   if (node.incarnation != incarnation || !node.controller) return;
   Deliver(index, incarnation, Command(Tick{}));
   After(kTick, [this, index, incarnation] { TickNode(index, incarnation); });
 }
 
-void World::CrashNode(size_t index, Duration down) {
+void ClusterSimulation::CrashNode(size_t index, Duration down) {
   Node& node = *nodes_[index];
   if (!node.controller) return;
   Note(fmt::format("node {} crashes", index));
@@ -294,7 +295,8 @@
   });
 }
 
-void World::Deliver(size_t index, uint64_t incarnation, ControllerInput input) {
+void ClusterSimulation::Deliver(size_t index, uint64_t incarnation,
+                                ControllerInput input) {
   Node& node = *nodes_[index];
   if (!node.controller || node.incarnation != incarnation) return;
   const auto* command = std::get_if<Command>(&input);
@@ -317,7 +319,7 @@
   Execute(node, input);
 }
 
-void World::Execute(Node& node, const ControllerInput& input) {
+void ClusterSimulation::Execute(Node& node, const ControllerInput& input) {
   std::vector<ControllerOutput> outputs =
       node.controller->Handle(ClockOf(node), input);
   size_t worker_calls = 0;
@@ -337,10 +339,11 @@
       Perform(node, effect);
     }
   }
-  most_worker_calls_ = std::max(most_worker_calls_, worker_calls);
+  max_worker_calls_ = std::max(max_worker_calls_, worker_calls);
 }
 
-void World::TellPeers(const Node& node, const EncodedPeerMessage& message) {
+void ClusterSimulation::TellPeers(const Node& node,
+                                  const EncodedPeerMessage& message) {
   for (size_t i = 0; i < config_.nodes; ++i) {
     if (i == node.index || now_ < peers_refused_until_ ||
         now_ < node.peer_cut_until || now_ < nodes_[i]->peer_cut_until) {
@@ -353,7 +356,7 @@
   }
 }
 
-void World::Perform(Node& node, const Effect& effect) {
+void ClusterSimulation::Perform(Node& node, const Effect& effect) {
   if (const auto* reply = std::get_if<Reply>(&effect)) {
     auto waiting = node.waiting.extract(reply->request);
     if (!waiting.empty()) waiting.mapped()(*reply);
@@ -371,8 +374,9 @@
 // What takes a reply to the call's maker: the first one, or none by its
 // timeout.
 template <typename Call, typename Decode>
-World::Answer World::AnswerOnce(const Node& node, const Call& call,
-                                Decode decode) {
+ClusterSimulation::Answer ClusterSimulation::AnswerOnce(const Node& node,
+                                                        const Call& call,
+                                                        Decode decode) {
   auto answered = std::make_shared<bool>(false);
   Answer answer = [this, index = node.index, incarnation = node.incarnation,
                    id = call.call, decode,
@@ -386,7 +390,7 @@
   return answer;
 }
 
-void World::PerformState(Node& node, const EncodedStateCall& call) {
+void ClusterSimulation::PerformState(Node& node, const EncodedStateCall& call) {
   size_t index = node.index;
   const wire::HttpRequest& http = call.http;
   bool writes = http.path == "/txn";
@@ -436,7 +440,7 @@
   });
 }
 
-void World::PerformCloud(Node& node, const CloudCall& call) {
+void ClusterSimulation::PerformCloud(Node& node, const CloudCall& call) {
   auto answer =
       AnswerOnce(node, call,
                  [request = call.request](int status, const std::string& body) {
@@ -457,7 +461,7 @@
   });
 }
 
-void World::PerformWorker(Node& node, const WorkerCall& call) {
+void ClusterSimulation::PerformWorker(Node& node, const WorkerCall& call) {
   auto answer = AnswerOnce(node, call, [](int status, const std::string& body) {
     return wire::DecodeWorker(status, body);
   });
@@ -465,11 +469,11 @@
   size_t index = node.index;
   auto execute = [this, call, http,
                   index]() -> std::optional<fakes::HttpReply> {
-    for (auto& [name, box] : machines_) {
-      if (box->worker->config().address != call.address) continue;
+    for (auto& [name, simulated] : machines_) {
+      if (simulated->worker->config().address != call.address) continue;
       if (CutOff(index, name)) return std::nullopt;
-      return box->worker->Handle(http.post ? "POST" : "GET", http.path,
-                                 http.body, now_);
+      return simulated->worker->Handle(http.post ? "POST" : "GET", http.path,
+                                       http.body, now_);
     }
     return std::nullopt;
   };
@@ -479,10 +483,10 @@
     }
     return;
   }
-  for (const std::string& name : deaf_) {
+  for (const std::string& name : inbound_cut_) {
     if (call.address == "addr-" + name + ":1") return;
   }
-  for (const auto& [name, until] : deaf_until_) {
+  for (const auto& [name, until] : inbound_cut_until_) {
     if (now_ < until && call.address == "addr-" + name + ":1") return;
   }
   if (std::holds_alternative<CommandWorker>(call.request) &&
@@ -497,8 +501,9 @@
   });
 }
 
-void World::Ask(size_t index, const MakeCommand& make, Duration timeout,
-                const std::string& machine, const OnAnswer& on_answer) {
+void ClusterSimulation::Ask(size_t index, const MakeCommand& make,
+                            Duration timeout, const std::string& machine,
+                            const OnAnswer& on_answer) {
   auto answered = std::make_shared<bool>(false);
   auto answer = [answered, on_answer](const std::optional<Reply>& reply) {
     if (!std::exchange(*answered, true)) on_answer(reply);
@@ -530,19 +535,20 @@
   });
 }
 
-bool World::CutOff(size_t index, const std::string& machine) const {
+bool ClusterSimulation::CutOff(size_t index, const std::string& machine) const {
   auto own = cut_until_.find(machine);
   if (own != cut_until_.end() && now_ < own->second) return true;
   if (now_ >= zone_cut_until_) return false;
-  auto box = machines_.find(machine);
-  std::string zone = box == machines_.end() ? "" : box->second->zone;
+  auto simulated = machines_.find(machine);
+  std::string zone =
+      simulated == machines_.end() ? "" : simulated->second->zone;
   return zone != ZoneOf(index) && (zone == "b" || ZoneOf(index) == "b");
 }
 
 // ---- Machines ----
 
-void World::AddMachine(const fakes::Cloud::Machine& machine) {
-  auto box = std::make_unique<Box>();
+void ClusterSimulation::AddMachine(const fakes::Cloud::Machine& machine) {
+  auto simulated = std::make_unique<SimulatedMachine>();
   fakes::Worker::Config config;
   config.name = machine.name;
   config.address = "addr-" + machine.name + ":1";
@@ -550,11 +556,11 @@
   config.zone = machine.zone;
   config.spot = machine.spot;
   config.lease = deployment_.worker_lease;
-  config.sick = Chance() < config_.sick_share;
-  if (config.sick) sick_.insert(machine.name);
+  config.faulty = Chance() < config_.faulty_share;
+  if (config.faulty) faulty_.insert(machine.name);
   config.ignores_stops = config_.workers_ignore_stops;
-  box->zone = machine.zone;
-  box->spot = machine.spot;
+  simulated->zone = machine.zone;
+  simulated->spot = machine.spot;
   auto lookup =
       [this](const std::string& task) -> std::optional<fakes::TaskInfo> {
     auto job = jobs_.find(task.substr(0, task.rfind('/')));
@@ -566,38 +572,40 @@
                                fakes::Worker::TaskEvent event) {
     OnTask(name, task, event);
   };
-  box->worker = std::make_unique<fakes::Worker>(config, lookup, observer, now_);
-  box->node = Pick(config_.nodes);
+  simulated->worker =
+      std::make_unique<fakes::Worker>(config, lookup, observer, now_);
+  simulated->node = Pick(config_.nodes);
   cloud_.SetStatus(name, "running", now_);
-  machines_[name] = std::move(box);
+  machines_[name] = std::move(simulated);
   After(Duration(0), [this, name] { StepMachine(name); });
 }
 
-void World::StepMachine(const std::string& name) {
+void ClusterSimulation::StepMachine(const std::string& name) {
   auto it = machines_.find(name);
   if (it == machines_.end()) return;
-  Box& box = *it->second;
-  if (box.worker->Advance(now_)) {
-    box.next_heartbeat =
-        std::min(box.next_heartbeat, box.last_heartbeat + Millis(500));
-  }
-  auto mute = mute_until_.find(name);
-  bool reaches = mute == mute_until_.end() || now_ >= mute->second;
-  if (!box.waiting && !box.worker->hanging && now_ >= box.next_heartbeat &&
-      reaches) {
+  SimulatedMachine& simulated = *it->second;
+  if (simulated.worker->Advance(now_)) {
+    simulated.next_heartbeat = std::min(simulated.next_heartbeat,
+                                        simulated.last_heartbeat + Millis(500));
+  }
+  auto outbound_cut = outbound_cut_until_.find(name);
+  bool reaches =
+      outbound_cut == outbound_cut_until_.end() || now_ >= outbound_cut->second;
+  if (!simulated.waiting && !simulated.worker->hanging &&
+      now_ >= simulated.next_heartbeat && reaches) {
     Heartbeat(name);
   }
   After(Seconds(config_.machine_step_s), [this, name] { StepMachine(name); });
 }
 
-void World::Heartbeat(const std::string& name) {
-  Box& box = *machines_[name];
-  box.waiting = true;
-  box.last_heartbeat = now_;
-  uint64_t number = ++box.heartbeat_number;
-  uint64_t agent_epoch = box.worker->agent_epoch();
-  std::string body = box.worker->MakeHeartbeat(now_);
-  size_t target = box.node;
+void ClusterSimulation::Heartbeat(const std::string& name) {
+  SimulatedMachine& simulated = *machines_[name];
+  simulated.waiting = true;
+  simulated.last_heartbeat = now_;
+  uint64_t number = ++simulated.heartbeat_number;
+  uint64_t agent_epoch = simulated.worker->agent_epoch();
+  std::string body = simulated.worker->MakeHeartbeat(now_);
+  size_t target = simulated.node;
   SteadyTime sent = now_;
   auto make = [body](RequestId id) -> Command {
     return ReceiveWorkerHeartbeat{id, *wire::DecodeWorkerHeartbeat(body).value};
@@ -618,10 +626,11 @@
         if (it == machines_.end() || it->second->heartbeat_number != number) {
           return;
         }
-        Box& b = *it->second;
-        auto deaf = deaf_until_.find(name);
-        bool hears = deaf == deaf_until_.end() || now_ >= deaf->second;
-        if (deaf_.contains(name) || !hears) reply.reset();
+        SimulatedMachine& b = *it->second;
+        auto inbound_cut = inbound_cut_until_.find(name);
+        bool hears = inbound_cut == inbound_cut_until_.end() ||
+                     now_ >= inbound_cut->second;
+        if (inbound_cut_.contains(name) || !hears) reply.reset();
         b.waiting = false;
         b.next_heartbeat = now_ + Between(0.75 * config_.heartbeat_s,
                                           1.25 * config_.heartbeat_s);
@@ -646,8 +655,9 @@
       });
 }
 
-void World::OnTask(const std::string& machine, const std::string& task,
-                   fakes::Worker::TaskEvent event) {
+void ClusterSimulation::OnTask(const std::string& machine,
+                               const std::string& task,
+                               fakes::Worker::TaskEvent event) {
   size_t slash = task.rfind('/');
   JobModel& job = *jobs_.at(task.substr(0, slash));
   if (event == fakes::Worker::TaskEvent::kLaunched) {
@@ -708,16 +718,16 @@
   if (job.spec.team != "guest" && cpus > config_.team_limit + 1e-9) {
     Violation("quota", fmt::format("{} uses {}", job.spec.team, cpus));
   }
-  const Box& box = *machines_.at(machine);
+  const SimulatedMachine& simulated = *machines_.at(machine);
   const JobSpec& spec = job.spec;
-  bool wrong = (box.spot && !spec.spot) ||
-               (!spec.zone.empty() && spec.zone != box.zone) ||
+  bool wrong = (simulated.spot && !spec.spot) ||
+               (!spec.zone.empty() && spec.zone != simulated.zone) ||
                (spec.one_zone && zones.size() > 1) ||
-               (spec.spread && zones[box.zone] > (spec.tasks + 1) / 2);
+               (spec.spread && zones[simulated.zone] > (spec.tasks + 1) / 2);
   if (wrong) Violation("wrong_place", task + " on " + machine);
 }
 
-void World::CheckCancelled() {
+void ClusterSimulation::CheckCancelled() {
   if (now_ < next_cancel_check_) return;
   next_cancel_check_ = now_ + Millis(20);
   for (auto& [task, on] : task_on_) {
@@ -732,7 +742,7 @@
 
 // ---- Users ----
 
-void World::AddJob(int number) {
+void ClusterSimulation::AddJob(int number) {
   auto job = std::make_unique<JobModel>();
   JobSpec& spec = job->spec;
   spec.id = fmt::format("run-{:06}", number);
@@ -747,7 +757,8 @@
   job->info.run = Between(1, config_.longest_run_s);
   job->info.saves = Chance() < 0.4;
   job->info.save = job->info.saves ? Between(0.2, 1) : Duration(0);
-  spec.need = Resources::FromDecimals(job->info.cpus, 0, job->info.memory_gb);
+  spec.resources =
+      Resources::FromDecimals(job->info.cpus, 0, job->info.memory_gb);
   spec.image = job->info.image;
   spec.image_gb = 1;
   spec.estimate = job->info.run;
@@ -771,8 +782,8 @@
   });
 }
 
-void World::CheckAnswer(JobModel& job, const JobAnswer& answer,
-                        SteadyTime asked) {
+void ClusterSimulation::CheckAnswer(JobModel& job, const JobAnswer& answer,
+                                    SteadyTime asked) {
   const std::string& id = job.spec.id;
   if (!job.submitted) Violation("invented", id);
   using Status = JobAnswer::Status;
@@ -802,7 +813,7 @@
   if (!job.accepted) job.accepted = now_;
 }
 
-void World::TrySubmit(const std::string& id, SteadyTime since) {
+void ClusterSimulation::TrySubmit(const std::string& id, SteadyTime since) {
   JobModel& job = *jobs_[id];
   size_t node = Pick(config_.nodes);
   bool old_version = config_.begins_with_production && !nodes_[node]->upgraded;
@@ -836,7 +847,7 @@
       });
 }
 
-void World::TryPoll(const std::string& id) {
+void ClusterSimulation::TryPoll(const std::string& id) {
   Ask(Pick(config_.nodes), PollOf(id), Seconds(2), "",
       [this, id, asked = now_](const std::optional<Reply>& reply) {
         JobModel& job = *jobs_[id];
@@ -858,7 +869,7 @@
       });
 }
 
-void World::TryCancel(const std::string& id) {
+void ClusterSimulation::TryCancel(const std::string& id) {
   jobs_[id]->asked_cancel = true;
   Ask(Pick(config_.nodes), CancelOf(id), Seconds(5), "",
       [this, id, asked = now_](const std::optional<Reply>& reply) {
@@ -874,10 +885,10 @@
       });
 }
 
-// ---- Troubles ----
+// ---- Faults ----
 
-void World::Trouble() {
-  if (now_ - SteadyTime(Seconds(1000)) > config_.trouble_until) return;
+void ClusterSimulation::InjectFault() {
+  if (now_ - SteadyTime(Seconds(1000)) > config_.faults_until) return;
   size_t index = Pick(config_.nodes);
   Node& node = *nodes_[index];
   switch (Pick(9)) {
@@ -929,16 +940,16 @@
       After(Between(1, 20), [this] { cloud_.outage = false; });
       break;
   }
-  if (Chance() < 0.4) MoreTrouble(Pick(config_.nodes));
-  if (config_.fleet_troubles) FleetTrouble(Pick(config_.nodes));
-  if (config_.meeting_troubles) MeetingTrouble(Pick(config_.nodes));
+  if (Chance() < 0.4) InjectOneOfMoreFaults(Pick(config_.nodes));
+  if (config_.fleet_faults) InjectFleetFault(Pick(config_.nodes));
+  if (config_.compound_faults) InjectCompoundFault(Pick(config_.nodes));
   // The longest of them last 20 s.
   calm_since_ = now_ + Seconds(20);
-  double mean = ToSeconds(config_.trouble_every);
-  After(Between(0.2 * mean, 1.8 * mean), [this] { Trouble(); });
+  double mean = ToSeconds(config_.fault_interval);
+  After(Between(0.2 * mean, 1.8 * mean), [this] { InjectFault(); });
 }
 
-void World::StopState(Duration how_long) {
+void ClusterSimulation::StopState(Duration how_long) {
   Note("the state service is away");
   state_outage_ = true;
   After(how_long, [this] {
@@ -948,27 +959,27 @@
   });
 }
 
-void World::CrashAllNodes() {
+void ClusterSimulation::CrashAllNodes() {
   for (size_t i = 0; i < config_.nodes; ++i) {
     CrashNode(i, Between(0.05, config_.longest_down_s));
   }
 }
 
-void World::UpgradeNode(size_t index, Duration down) {
+void ClusterSimulation::UpgradeNode(size_t index, Duration down) {
   nodes_[index]->upgraded = true;
   CrashNode(index, down);
 }
 
-void World::LowerStateLimits() {
+void ClusterSimulation::LowerStateLimits() {
   Note("the state service has its announced limits");
   state_.set_limits({config_.next_txn_ops, config_.next_value_kb, 10000});
 }
 
-void World::CrashAllNodes(double down_s) {
+void ClusterSimulation::CrashAllNodes(double down_s) {
   for (size_t i = 0; i < config_.nodes; ++i) CrashNode(i, Seconds(down_s));
 }
 
-size_t World::OwnerOf(uint32_t partition) const {
+size_t ClusterSimulation::OwnerOf(uint32_t partition) const {
   auto entry = state_.entries().find("pf/parts/" + std::to_string(partition));
   if (entry == state_.entries().end()) return 0;
   const std::string& value = entry->second.value;
@@ -980,7 +991,7 @@
   return 0;
 }
 
-void World::CutNode(size_t index, Cut cut, double seconds) {
+void ClusterSimulation::CutNode(size_t index, Cut cut, double seconds) {
   Node& node = *nodes_[index];
   Note(fmt::format("node {} cut: state={} workers={} peers={} hold={}", index,
                    cut.state, cut.workers, cut.peers, cut.hold));
@@ -991,45 +1002,45 @@
   if (cut.peers) node.peer_cut_until = until;
 }
 
-void World::LateWrites(double share, double seconds) {
+void ClusterSimulation::LateWrites(double share, double seconds) {
   Note("writes are carried out late");
   late_writes_ = share;
   late_writes_until_ = now_ + Seconds(seconds);
 }
 
-void World::LoseWriteAnswers(double share, double seconds) {
+void ClusterSimulation::LoseWriteAnswers(double share, double seconds) {
   Note("answers to writes are lost");
   lost_write_answers_ = {share, now_ + Seconds(seconds)};
 }
 
-void World::DelayCommands(double share, double seconds) {
+void ClusterSimulation::DelayCommands(double share, double seconds) {
   Note("direct commands are held up");
   late_commands_ = {share, now_ + Seconds(seconds)};
 }
 
-void World::KeepHeartbeatsForNextOwner(double share, double seconds,
-                                       double delay_s) {
+void ClusterSimulation::KeepHeartbeatsForNextOwner(double share, double seconds,
+                                                   double delay_s) {
   Note("copies of reports are kept for the next owner");
   kept_heartbeats_ = {share, now_ + Seconds(seconds)};
   kept_heartbeats_delay_ = Seconds(delay_s);
 }
 
-void World::WatchAnswersClosely(double seconds) {
+void ClusterSimulation::WatchAnswersClosely(double seconds) {
   Note("users ask everybody after each answer that is news");
   watch_closely_until_ = now_ + Seconds(seconds);
 }
 
-bool World::Disturbed(const FaultWindow& window) {
+bool ClusterSimulation::Disturbed(const FaultWindow& window) {
   return now_ < window.until && Chance() < window.share;
 }
 
-uint64_t World::OwnerModRevision(uint32_t partition) const {
+uint64_t ClusterSimulation::OwnerModRevision(uint32_t partition) const {
   auto entry = state_.entries().find(keys::Partition(partition));
   return entry == state_.entries().end() ? 0 : entry->second.mod_revision;
 }
 
-void World::KeepHeartbeat(const std::string& machine,
-                          const MakeCommand& heartbeat) {
+void ClusterSimulation::KeepHeartbeat(const std::string& machine,
+                                      const MakeCommand& heartbeat) {
   uint32_t partition_count = config_.partition_count > 0
                                  ? config_.partition_count
                                  : static_cast<uint32_t>(config_.nodes);
@@ -1037,9 +1048,10 @@
   AwaitNextOwner(machine, heartbeat, partition, OwnerModRevision(partition));
 }
 
-void World::AwaitNextOwner(const std::string& machine,
-                           const MakeCommand& heartbeat, uint32_t partition,
-                           uint64_t mod_revision) {
+void ClusterSimulation::AwaitNextOwner(const std::string& machine,
+                                       const MakeCommand& heartbeat,
+                                       uint32_t partition,
+                                       uint64_t mod_revision) {
   if (OwnerModRevision(partition) == mod_revision) {
     After(Millis(50), [this, machine, heartbeat, partition, mod_revision] {
       AwaitNextOwner(machine, heartbeat, partition, mod_revision);
@@ -1054,7 +1066,7 @@
   });
 }
 
-void World::AskEverybody(const std::string& id) {
+void ClusterSimulation::AskEverybody(const std::string& id) {
   for (size_t i = 0; i < config_.nodes; ++i) {
     for (int times = 0; times < 3; ++times) {
       After(Between(0, 0.03), [this, i, id] { PollOnce(i, id); });
@@ -1064,7 +1076,7 @@
   if (Chance() < 0.1) After(Millis(1), [this, id] { TryCancel(id); });
 }
 
-void World::PollOnce(size_t index, const std::string& id) {
+void ClusterSimulation::PollOnce(size_t index, const std::string& id) {
   Ask(index, PollOf(id), Seconds(2), "",
       [this, id, asked = now_](const std::optional<Reply>& reply) {
         JobModel& job = *jobs_[id];
@@ -1077,7 +1089,7 @@
       });
 }
 
-void World::SubmitOnce(size_t index, const std::string& id) {
+void ClusterSimulation::SubmitOnce(size_t index, const std::string& id) {
   JobModel& job = *jobs_[id];
   Ask(index, SubmissionOf(job.spec), Seconds(5), "",
       [this, id, asked = now_](const std::optional<Reply>& reply) {
@@ -1090,28 +1102,28 @@
       });
 }
 
-void World::SlowState(double seconds) {
+void ClusterSimulation::SlowState(double seconds) {
   Note("the state service is slow");
   state_slow_until_ = now_ + Seconds(seconds);
 }
 
-void World::FreezeNode(size_t index, double seconds) {
+void ClusterSimulation::FreezeNode(size_t index, double seconds) {
   Note(fmt::format("node {} stands still", index));
   nodes_[index]->frozen_until = now_ + Seconds(seconds);
 }
 
-void World::SlowNode(size_t index, double seconds) {
+void ClusterSimulation::SlowNode(size_t index, double seconds) {
   Note(fmt::format("node {} is slow", index));
   nodes_[index]->slow_until = now_ + Seconds(seconds);
 }
 
-void World::StopCloud(double seconds) {
+void ClusterSimulation::StopCloud(double seconds) {
   Note("the cloud is away");
   cloud_.outage = true;
   After(Seconds(seconds), [this] { cloud_.outage = false; });
 }
 
-void World::CutZone(double seconds, bool hold) {
+void ClusterSimulation::CutZone(double seconds, bool hold) {
   Note("zone b is cut off from everything");
   zone_cut_until_ = now_ + Seconds(seconds);
   zone_hold_ = hold;
@@ -1120,7 +1132,7 @@
   }
 }
 
-void World::CutMachines(double share, double seconds, bool hold) {
+void ClusterSimulation::CutMachines(double share, double seconds, bool hold) {
   Note("many machines are cut off");
   zone_hold_ = hold;
   for (const std::string& name : PickMachines(share)) {
@@ -1128,28 +1140,28 @@
   }
 }
 
-void World::HangMachines(double share, double seconds) {
+void ClusterSimulation::HangMachines(double share, double seconds) {
   Note("many machines hang");
   for (const std::string& name : PickMachines(share)) {
     Hang(name, Seconds(seconds));
   }
 }
 
-void World::DeafenMachines(double share, double seconds) {
+void ClusterSimulation::CutInbound(double share, double seconds) {
   Note("machines hear nothing");
   for (const std::string& name : PickMachines(share)) {
-    deaf_until_[name] = now_ + Seconds(seconds);
+    inbound_cut_until_[name] = now_ + Seconds(seconds);
   }
 }
 
-void World::MuteMachines(double share, double seconds) {
+void ClusterSimulation::CutOutbound(double share, double seconds) {
   Note("machines reach no controller");
   for (const std::string& name : PickMachines(share)) {
-    mute_until_[name] = now_ + Seconds(seconds);
+    outbound_cut_until_[name] = now_ + Seconds(seconds);
   }
 }
 
-void World::KillMachines(double share) {
+void ClusterSimulation::KillMachines(double share) {
   for (const std::string& name : PickMachines(share)) {
     Note(name + " dies");
     machines_.erase(name);
@@ -1158,7 +1170,7 @@
   }
 }
 
-void World::CancelNow(int count, double hang_s) {
+void ClusterSimulation::CancelNow(int count, double hang_s) {
   Note("users call jobs off");
   std::set<std::string> chosen;
   for (const auto& [task, on] : task_on_) {
@@ -1175,8 +1187,8 @@
   }
 }
 
-JobSpec& World::AddJobAt(double second, const std::string& id, uint32_t tasks,
-                         double run_s) {
+JobSpec& ClusterSimulation::AddJobAt(double second, const std::string& id,
+                                     uint32_t tasks, double run_s) {
   JobModel& job = AddPlainJob(id, tasks, run_s);
   After(Seconds(second), [this, id] {
     jobs_[id]->submitted = true;
@@ -1185,33 +1197,34 @@
   return job.spec;
 }
 
-JobSpec& World::AddGuestJobAt(double second, const std::string& id,
-                              uint32_t tasks, double run_s, double cpus) {
+JobSpec& ClusterSimulation::AddGuestJobAt(double second, const std::string& id,
+                                          uint32_t tasks, double run_s,
+                                          double cpus) {
   JobSpec& spec = AddJobAt(second, id, tasks, run_s);
   spec.team = "guest";
   spec.job_class = "guest";
   spec.priority = Priority::kLow;
-  spec.need = Resources::FromDecimals(cpus, 0, 0.5);
+  spec.resources = Resources::FromDecimals(cpus, 0, 0.5);
   jobs_[id]->info.cpus = cpus;
   jobs_[id]->info.memory_gb = 0.5;
   return spec;
 }
 
-void World::AddBrokenJobAt(double second, const std::string& id, uint32_t tasks,
-                           double cancel_after_s) {
+void ClusterSimulation::AddBrokenJobAt(double second, const std::string& id,
+                                       uint32_t tasks, double cancel_after_s) {
   AddJobAt(second, id, tasks, 5);
   jobs_[id]->info.broken = true;
   After(Seconds(second + cancel_after_s), [this, id] { TryCancel(id); });
 }
 
-void World::PollStorm(double factor, double seconds) {
+void ClusterSimulation::PollStorm(double factor, double seconds) {
   Note("users ask many times as often");
   storm_factor_ = factor;
   storm_until_ = now_ + Seconds(seconds);
   AskAboutNobodysJob();
 }
 
-void World::AskAboutNobodysJob() {
+void ClusterSimulation::AskAboutNobodysJob() {
   if (now_ >= storm_until_) return;
   std::string id = fmt::format("run-96{:04}", Pick(10000));
   Ask(Pick(config_.nodes), PollOf(id), Seconds(2), "",
@@ -1221,38 +1234,39 @@
   After(Millis(20), [this] { AskAboutNobodysJob(); });
 }
 
-bool World::done(const std::string& job) const {
+bool ClusterSimulation::done(const std::string& job) const {
   return jobs_.at(job)->told_done.has_value();
 }
 
-std::optional<double> World::begun_after(const std::string& job) const {
+std::optional<double> ClusterSimulation::begun_after(
+    const std::string& job) const {
   const JobModel& model = *jobs_.at(job);
   if (!model.begun || !model.accepted) return std::nullopt;
   return ToSeconds(*model.begun - *model.accepted);
 }
 
-size_t World::quarantines(bool sick) const {
+size_t ClusterSimulation::quarantines(bool faulty) const {
   size_t count = 0;
   for (const std::string& line : log_) {
     size_t at = line.find("event=quarantine machine=");
     if (at == std::string::npos) continue;
     std::string name = line.substr(at + 25);
-    count += sick == sick_.contains(name.substr(0, name.find(' ')));
+    count += faulty == faulty_.contains(name.substr(0, name.find(' ')));
   }
   return count;
 }
 
-int World::cancelled() const {
+int ClusterSimulation::cancelled() const {
   return static_cast<int>(std::count_if(
       jobs_.begin(), jobs_.end(),
       [](const auto& entry) { return entry.second->cancelled.has_value(); }));
 }
 
-int World::starts_of(const std::string& job) const {
+int ClusterSimulation::starts_of(const std::string& job) const {
   return jobs_.at(job)->starts;
 }
 
-void World::Hang(const std::string& name, Duration how_long) {
+void ClusterSimulation::Hang(const std::string& name, Duration how_long) {
   machines_[name]->worker->hanging = true;
   After(how_long, [this, name] {
     auto found = machines_.find(name);
@@ -1260,14 +1274,14 @@
   });
 }
 
-const std::string& World::PickMachine() {
+const std::string& ClusterSimulation::PickMachine() {
   auto it = std::next(machines_.begin(),
                       static_cast<ptrdiff_t>(Pick(machines_.size())));
   return it->first;
 }
 
 // What came with the grown deployments.
-void World::MoreTrouble(size_t index) {
+void ClusterSimulation::InjectOneOfMoreFaults(size_t index) {
   Node& node = *nodes_[index];
   switch (Pick(6)) {
     case 0:
@@ -1301,16 +1315,16 @@
   }
 }
 
-std::vector<std::string> World::PickMachines(double share) {
+std::vector<std::string> ClusterSimulation::PickMachines(double share) {
   std::vector<std::string> names;
-  for (const auto& [name, box] : machines_) {
+  for (const auto& [name, simulated] : machines_) {
     if (Chance() < share) names.push_back(name);
   }
   return names;
 }
 
 // What came with the fleet.
-void World::FleetTrouble(size_t index) {
+void ClusterSimulation::InjectFleetFault(size_t index) {
   switch (Pick(5)) {
     case 0:
       Note(fmt::format("node {} stands still", index));
@@ -1347,8 +1361,8 @@
   }
 }
 
-// What the operators' list of meetings names.
-void World::MeetingTrouble(size_t index) {
+// What the operators' list of overlaps names.
+void ClusterSimulation::InjectCompoundFault(size_t index) {
   switch (Pick(11)) {
     case 0:
       LateWrites(0.3, ToSeconds(Between(5, 15)));
@@ -1366,10 +1380,10 @@
       WatchAnswersClosely(15);
       break;
     case 1:
-      DeafenMachines(0.3, ToSeconds(Between(3, 18)));
+      CutInbound(0.3, ToSeconds(Between(3, 18)));
       break;
     case 2:
-      MuteMachines(0.4, ToSeconds(Between(3, 18)));
+      CutOutbound(0.4, ToSeconds(Between(3, 18)));
       break;
     case 3:
       CutNode(index, {.state = true, .peers = true, .hold = Chance() < 0.5},
@@ -1391,35 +1405,36 @@
 }
 
 // A machine is back within a fraction of a second and has forgotten everything.
-void World::RestartMachine() {
+void ClusterSimulation::RestartMachine() {
   if (machines_.empty()) return;
   std::string name = PickMachine();
-  auto rented = cloud_.machines().find(name);
-  if (rented == cloud_.machines().end()) return;
+  auto created = cloud_.machines().find(name);
+  if (created == cloud_.machines().end()) return;
   Note(name + " restarts");
   machines_.erase(name);
-  After(Between(0.05, 0.8), [this, name, machine = rented->second] {
+  After(Between(0.05, 0.8), [this, name, machine = created->second] {
     if (cloud_.machines().contains(name) && !machines_.contains(name)) {
       AddMachine(machine);
     }
   });
 }
 
-void World::DeafenMachines() {
-  for (const auto& [name, box] : machines_) {
-    if (static_cast<int>(deaf_.size()) >= config_.deaf_machines) break;
+void ClusterSimulation::CutInbound() {
+  for (const auto& [name, simulated] : machines_) {
+    if (static_cast<int>(inbound_cut_.size()) >= config_.inbound_cut_machines)
+      break;
     Note(name + " hears nothing any more");
-    deaf_.insert(name);
+    inbound_cut_.insert(name);
   }
   // Some leases later they must be gone.
   After(Seconds(50), [this] {
-    for (const std::string& name : deaf_) {
-      deaf_left_ += cloud_.machines().contains(name);
+    for (const std::string& name : inbound_cut_) {
+      inbound_cut_left_ += cloud_.machines().contains(name);
     }
   });
 }
 
-void World::IsolateNode() {
+void ClusterSimulation::IsolateNode() {
   constexpr size_t kIsolated = 1;
   Node& node = *nodes_[kIsolated];
   Note("node 1 keeps only its workers and users");
@@ -1447,15 +1462,15 @@
   });
 }
 
-JobSpec& World::AddServiceAt(double second, const std::string& id,
-                             uint32_t replicas, double cpus) {
+JobSpec& ClusterSimulation::AddServiceAt(double second, const std::string& id,
+                                         uint32_t replicas, double cpus) {
   JobModel& job = AddPlainJob(id, replicas, kEndlessRunS);
   job.info.cpus = cpus;
   job.info.endless = true;
   job.spec.job_class = "service";
   job.spec.shape = Shape::kService;
   job.spec.priority = Priority::kProduction;
-  job.spec.need = Resources::FromDecimals(cpus, 0, job.info.memory_gb);
+  job.spec.resources = Resources::FromDecimals(cpus, 0, job.info.memory_gb);
   job.spec.estimate = Duration(0);
   job.spec.spot = false;
   At(second, [this, id] {
@@ -1465,11 +1480,11 @@
   return job.spec;
 }
 
-bool World::called_off(const std::string& id) const {
+bool ClusterSimulation::called_off(const std::string& id) const {
   return jobs_.at(id)->asked_cancel;
 }
 
-int World::replicas_up(const std::string& id) const {
+int ClusterSimulation::replicas_up(const std::string& id) const {
   return static_cast<int>(
       std::ranges::count_if(task_on_, [&](const auto& entry) {
         const OnMachines& on = entry.second;
@@ -1477,14 +1492,14 @@
       }));
 }
 
-void World::EndReplicas(double share) {
-  for (auto& [name, box] : machines_) {
-    if (Chance() < share) box->worker->EndReplicas();
+void ClusterSimulation::EndReplicas(double share) {
+  for (auto& [name, simulated] : machines_) {
+    if (Chance() < share) simulated->worker->EndReplicas();
   }
 }
 
-World::JobModel& World::AddPlainJob(const std::string& id, uint32_t tasks,
-                                    double run) {
+ClusterSimulation::JobModel& ClusterSimulation::AddPlainJob(
+    const std::string& id, uint32_t tasks, double run) {
   auto job = std::make_unique<JobModel>();
   JobSpec& spec = job->spec;
   spec.id = id;
@@ -1493,7 +1508,7 @@
   spec.tasks = tasks;
   job->info = {.cpus = 2, .memory_gb = 2.7, .image = "img-0"};
   job->info.run = Seconds(run);
-  spec.need = Resources::FromDecimals(2, 0, 2.7);
+  spec.resources = Resources::FromDecimals(2, 0, 2.7);
   spec.image = "img-0";
   spec.estimate = Seconds(run);
   spec.spot = true;
@@ -1502,7 +1517,7 @@
 
 // Every machine is full of tasks that run for a minute, and the state service
 // is away when most of these end.
-void World::AddWideJobs() {
+void ClusterSimulation::AddWideJobs() {
   for (int i = 0; i < config_.wide_jobs; ++i) {
     std::string id = fmt::format("run-8{:05}", i);
     AddPlainJob(id, 500, 60);
@@ -1516,7 +1531,7 @@
 
 // A cluster that is full for good: urgent small jobs of the team use up its
 // limit, and one large job of no importance wants some of it too.
-void World::AddCrowd() {
+void ClusterSimulation::AddCrowd() {
   auto add = [this](const std::string& id, Priority priority, uint32_t tasks,
                     double run, double at) {
     AddPlainJob(id, tasks, run).spec.priority = priority;
@@ -1531,11 +1546,11 @@
   }
 }
 
-void World::NoteAnswered(JobModel& job) { job.answered = now_; }
+void ClusterSimulation::NoteAnswered(JobModel& job) { job.answered = now_; }
 
 // Asked every few seconds, each accepted job gets an answer now and then,
 // whatever else the controllers have to do.
-void World::CheckForgotten() {
+void ClusterSimulation::CheckForgotten() {
   for (auto& [id, job] : jobs_) {
     if (!job->polls || !job->answered) continue;
     SteadyTime since = std::max(*job->answered, calm_since_);
@@ -1548,7 +1563,7 @@
 
 // Nothing is newly bound to a machine that has been deleted, whatever late
 // copies of its heartbeats say.
-void World::CheckAssignments(const Transaction& txn) {
+void ClusterSimulation::CheckAssignments(const Transaction& txn) {
   for (const Write& write : txn.writes) {
     if (!write.value) continue;
     const auto* segment = std::get_if<SegmentRecord>(&*write.value);
@@ -1569,7 +1584,7 @@
   }
 }
 
-void World::CountOwnerTransaction(const Transaction& txn) {
+void ClusterSimulation::CountOwnerTransaction(const Transaction& txn) {
   team_puts_ += static_cast<int>(std::ranges::count_if(
       txn.writes,
       [](const Write& write) { return write.key.starts_with(keys::kTeams); }));
@@ -1581,9 +1596,9 @@
   }
 }
 
-// Whether a machine that fits has room for a task of the job that is neither
-// done nor running, and its team may use more.
-bool World::CouldStart(const JobModel& job) const {
+// Whether a machine that fits has capacity for a task of the job that is
+// neither done nor running, and its team may use more.
+bool ClusterSimulation::CouldStart(const JobModel& job) const {
   const JobSpec& spec = job.spec;
   uint32_t on = 0;
   double team = 0;
@@ -1595,30 +1610,32 @@
       if (where.job->spec.team == spec.team) team += where.job->info.cpus;
       if (where.job != &job) continue;
       ++on;
-      auto box = machines_.find(machine);
-      if (box != machines_.end()) zones[box->second->zone] += 1;
+      auto simulated = machines_.find(machine);
+      if (simulated != machines_.end()) zones[simulated->second->zone] += 1;
     }
   }
   if (job.finished.size() + on >= spec.tasks) return false;
   if (spec.team != "guest" && team + job.info.cpus > config_.team_limit) {
     return false;
   }
-  for (const auto& [name, box] : machines_) {
-    const fakes::Worker& worker = *box->worker;
-    if (worker.config().sick || worker.hanging || deaf_.contains(name)) {
+  for (const auto& [name, simulated] : machines_) {
+    const fakes::Worker& worker = *simulated->worker;
+    if (worker.config().faulty || worker.hanging ||
+        inbound_cut_.contains(name)) {
       continue;
     }
     if (used[name] + job.info.cpus > worker.config().cpus) continue;
-    if (box->spot && !spec.spot) continue;
-    if (!spec.zone.empty() && spec.zone != box->zone) continue;
-    if (spec.one_zone && !zones.empty() && !zones.contains(box->zone)) continue;
-    if (spec.spread && zones[box->zone] >= (spec.tasks + 1) / 2) continue;
+    if (simulated->spot && !spec.spot) continue;
+    if (!spec.zone.empty() && spec.zone != simulated->zone) continue;
+    if (spec.one_zone && !zones.empty() && !zones.contains(simulated->zone))
+      continue;
+    if (spec.spread && zones[simulated->zone] >= (spec.tasks + 1) / 2) continue;
     return true;
   }
   return false;
 }
 
-void World::CheckWaiting() {
+void ClusterSimulation::CheckWaiting() {
   for (auto& [id, job] : jobs_) {
     if (!job->accepted || job->final() || job->asked_cancel) continue;
     if (job->info.broken) continue;
@@ -1632,7 +1649,7 @@
   After(Seconds(1), [this] { CheckWaiting(); });
 }
 
-void World::CheckServed() {
+void ClusterSimulation::CheckServed() {
   struct Count {
     int accepted = 0;
     int served = 0;
@@ -1668,13 +1685,13 @@
 
 // What no controller may accept: a team that is not there, more than any
 // machine has, a zone that no type has. (Fields that lack are the codec's.)
-void World::SendOddRequest() {
+void ClusterSimulation::SendOddRequest() {
   JobSpec spec;
   spec.id = fmt::format("run-95{:04}", Pick(10000));
   spec.job_class = "odd";
   spec.team = "red";
   spec.tasks = 2;
-  spec.need = Resources::FromDecimals(1, 0, 1);
+  spec.resources = Resources::FromDecimals(1, 0, 1);
   spec.image = "img-0";
   spec.estimate = Seconds(1);
   spec.spot = true;
@@ -1683,7 +1700,7 @@
       spec.team = "nobody";
       break;
     case 1:
-      spec.need = Resources::FromDecimals(64, 0, 1);
+      spec.resources = Resources::FromDecimals(64, 0, 1);
       break;
     default:
       spec.zone = "nowhere";
--- a/tests/sim/world.h
+++ b/tests/sim/cluster_simulation.h
@@ -3,8 +3,8 @@
 // model watches every start and every answer, and knows the protocol's rules.
 //
 // Everything follows from the seed: one queue of events, no threads, no clocks.
-#ifndef PITCHFALL_TESTS_SIM_WORLD_H_
-#define PITCHFALL_TESTS_SIM_WORLD_H_
+#ifndef PITCHFALL_TESTS_SIM_CLUSTER_SIMULATION_H_
+#define PITCHFALL_TESTS_SIM_CLUSTER_SIMULATION_H_
 
 #include <cstdint>
 #include <functional>
@@ -25,13 +25,13 @@
 
 namespace pitchfall::sim {
 
-struct WorldConfig {
+struct SimulationConfig {
   uint64_t seed = 1;
   size_t nodes = 3;
   uint32_t partition_count = 0;  // as many as controllers
   int jobs = 25;
   Duration jobs_within = Seconds(60);
-  Duration trouble_until = Seconds(90);
+  Duration faults_until = Seconds(90);
   // A team with many rounds of work behind its limit takes a while.
   Duration end = Seconds(320);
   double cancel_share = 0.15;
@@ -40,8 +40,8 @@
   double lost_reply = 0.01;
   double late_copy = 0.01;  // carried out seconds later, and nobody told
   double late_heartbeat = 0.02;
-  // Mean time between troubles; zero: none.
-  Duration trouble_every = Seconds(8);
+  // Mean time between faults; zero: none.
+  Duration fault_interval = Seconds(8);
   double team_limit = 12;
   bool constrained_jobs = true;  // zones, spreading, machine kinds
   size_t capacity = 10;          // machines of each zone and kind
@@ -52,14 +52,14 @@
   double cancel_s = 20;
   // Heartbeats of these many machines arrive from 30 s on, and nothing reaches
   // them.
-  int deaf_machines = 0;
+  int inbound_cut_machines = 0;
   // Besides: controllers that stand still while their clocks run on, zones and
   // many machines cut off, many machines that hang, all controllers restarted
   // while the state service is away.
-  bool fleet_troubles = false;
-  // Besides: late writes, deaf and mute machines, isolated controllers, jobs
-  // called off at once and at their end.
-  bool meeting_troubles = false;
+  bool fleet_faults = false;
+  // Besides: late writes, cut off inbound and cut off outbound machines,
+  // isolated controllers, jobs called off at once and at their end.
+  bool compound_faults = false;
   // Once: a controller loses the state service and its peers, but not its
   // workers nor its users.
   bool isolate_a_node = false;
@@ -71,7 +71,7 @@
   int wide_jobs = 0;
   // How often a machine looks at its tasks; large fleets do so less often.
   double machine_step_s = 0.05;
-  double sick_share = 0.04;  // of the machines fail all that they start
+  double faulty_share = 0.04;  // of the machines fail all that they start
   uint32_t txn_ops = 8;
   double value_kb = 8;
   // Limits announced for the moment of LowerStateLimits; 0: none.
@@ -80,7 +80,7 @@
   // Controllers are of the version in production until they are upgraded.
   bool begins_with_production = false;
   double state_writes = 60;  // puts and deletes that the service takes a second
-  // Each machine that is rented is up at once, so that a meeting of troubles
+  // Each machine that is rented is up at once, so that a overlap of failures
   // finds the same machines whatever the seed.
   bool quick_boots = false;
   // Now and then users send what must be refused, repeat submissions of jobs
@@ -99,17 +99,17 @@
   SteadyTime until{};
 };
 
-class World {
+class ClusterSimulation {
  public:
-  explicit World(WorldConfig config);
-  ~World();
-  World(const World&) = delete;
-  World& operator=(const World&) = delete;
+  explicit ClusterSimulation(SimulationConfig config);
+  ~ClusterSimulation();
+  ClusterSimulation(const ClusterSimulation&) = delete;
+  ClusterSimulation& operator=(const ClusterSimulation&) = delete;
 
   // Plays the whole schedule.
   void Run();
 
-  // For schedules that bring one meeting of troubles about: what is to happen
+  // For schedules that bring one overlap of failures about: what is to happen
   // so many seconds after the start.
   void At(double second, std::function<void()> what) {
     After(Seconds(second), std::move(what));
@@ -151,8 +151,8 @@
   void CutMachines(double share, double seconds, bool hold);
   void HangMachines(double share, double seconds);
   // They report, but hear nothing; or reach no controller, but take commands.
-  void DeafenMachines(double share, double seconds);
-  void MuteMachines(double share, double seconds);
+  void CutInbound(double share, double seconds);
+  void CutOutbound(double share, double seconds);
   void KillMachines(double share);
   // Users call off that many jobs that run and have long to go; their machines
   // hang so long.
@@ -169,7 +169,7 @@
                         double cpus);
   // How many of its tasks are on machines.
   int replicas_up(const std::string& id) const;
-  // Whether its user, be it in a trouble of the schedule, has called it off.
+  // Whether its user, be it in a fault of the schedule, has called it off.
   bool called_off(const std::string& id) const;
   // All that runs on that share of the machines completes.
   void EndReplicas(double share);
@@ -183,7 +183,7 @@
   // Users ask so many times as often, also about jobs that nobody submitted.
   void PollStorm(double factor, double seconds);
   // What is hopped over from here on counts as calm for the checks that only
-  // hold once troubles are over.
+  // hold once faults are over.
   void CalmFrom(double second) { calm_since_ = now_ + Seconds(second); }
 
   const std::vector<std::string>& violations() const { return violations_; }
@@ -194,9 +194,9 @@
   // Over all effects of the controllers so far, with `digest_effects`.
   uint64_t effect_digest() const { return effect_digest_.value(); }
   // What broke, and the end of the story: for the messages of tests.
-  std::string Told() const;
-  // Of the deaf machines: how many were still rented 50 s later.
-  int deaf_left() const { return deaf_left_; }
+  std::string Story() const;
+  // Of the cut off inbound machines: how many were still rented 50 s later.
+  int inbound_cut_left() const { return inbound_cut_left_; }
   // Requests of users that the isolated controller refused or left unanswered
   // once it had called itself unhealthy or should have.
   int lost_on_isolated() const { return lost_on_isolated_; }
@@ -206,14 +206,14 @@
   size_t largest_transaction() const { return state_.largest_transaction(); }
   size_t machines() const { return machines_.size(); }
   // The most calls to workers that one turn of a controller made.
-  size_t most_worker_calls() const { return most_worker_calls_; }
+  size_t max_worker_calls() const { return max_worker_calls_; }
   uint64_t state_calls() const { return state_calls_; }
   // Transactions that owners of the partition have sent so far.
   int owner_transactions(uint32_t partition) const {
     auto found = owner_transactions_.find(partition);
     return found == owner_transactions_.end() ? 0 : found->second;
   }
-  // Puts of teams' allotments so far.
+  // Puts of teams' quota shares so far.
   int team_puts() const { return team_puts_; }
   // Tasks that started after their user had been told that the job is
   // cancelled, a start that was on its way by then included.
@@ -228,11 +228,11 @@
   // Questions of users in a storm, and how many got 200 in time.
   int storm_polls() const { return storm_polls_; }
   int storm_answers() const { return storm_answers_; }
-  size_t quarantines(bool sick) const;
+  size_t quarantines(bool faulty) const;
 
  private:
   struct Node;
-  struct Box;  // a worker and its reporting
+  struct SimulatedMachine;  // a worker and its reporting
   struct Sent;
   struct JobModel;
 
@@ -286,10 +286,10 @@
   // request went out.
   void CheckAnswer(JobModel& job, const JobAnswer& answer, SteadyTime asked);
 
-  void Trouble();
-  void MoreTrouble(size_t index);
-  void FleetTrouble(size_t index);
-  void MeetingTrouble(size_t index);
+  void InjectFault();
+  void InjectOneOfMoreFaults(size_t index);
+  void InjectFleetFault(size_t index);
+  void InjectCompoundFault(size_t index);
   void CrashAllNodes();
   void Hang(const std::string& name, Duration how_long);
   std::vector<std::string> PickMachines(double share);
@@ -298,7 +298,7 @@
   bool CutOff(size_t index, const std::string& machine) const;
   const std::string& PickMachine();
   void RestartMachine();
-  void DeafenMachines();
+  void CutInbound();
   void IsolateNode();
   void AddCrowd();
   void AddWideJobs();
@@ -308,7 +308,7 @@
   void CheckAssignments(const Transaction& txn);
   void CountOwnerTransaction(const Transaction& txn);
   void CheckCancelled();
-  // Once troubles are over no task waits long beside a machine that has room.
+  // Once faults are over no task waits long beside a machine that has capacity.
   void CheckWaiting();
   bool CouldStart(const JobModel& job) const;
   // Half of each class, team and class's largest jobs, the largest soon.
@@ -326,7 +326,7 @@
   void Violation(const std::string& rule, const std::string& what);
   void Note(std::string what);
 
-  WorldConfig config_;
+  SimulationConfig config_;
   std::mt19937_64 random_;
   SteadyTime now_{Seconds(1000)};
   uint64_t event_count_ = 0;
@@ -344,16 +344,16 @@
   fakes::StateService state_;
   fakes::Cloud cloud_;
   SteadyTime next_cancel_check_{};
-  size_t most_worker_calls_ = 0;
+  size_t max_worker_calls_ = 0;
   uint64_t state_calls_ = 0;
   std::map<uint32_t, int> owner_transactions_;
   int team_puts_ = 0;
   bool state_outage_ = false;
   SteadyTime state_slow_until_{};
   SteadyTime peers_refused_until_{};
-  std::set<std::string> deaf_;
-  std::map<std::string, SteadyTime> deaf_until_;
-  std::map<std::string, SteadyTime> mute_until_;
+  std::set<std::string> inbound_cut_;
+  std::map<std::string, SteadyTime> inbound_cut_until_;
+  std::map<std::string, SteadyTime> outbound_cut_until_;
   double late_writes_ = 0;
   SteadyTime late_writes_until_{};
   FaultWindow lost_write_answers_;
@@ -368,19 +368,19 @@
   SteadyTime storm_until_{};
   int storm_polls_ = 0;
   int storm_answers_ = 0;
-  std::set<std::string> sick_;
+  std::set<std::string> faulty_;
   SteadyTime zone_cut_until_{};  // zone b, with the controllers in it
   bool zone_hold_ = false;
   std::map<std::string, SteadyTime> cut_until_;  // machines
   std::map<std::string, SteadyTime> deleted_;    // machines, and since when
   std::set<std::tuple<std::string, uint32_t, uint32_t>> bound_;
-  SteadyTime calm_since_{};  // the last trouble's end
-  int deaf_left_ = 0;
+  SteadyTime calm_since_{};  // the last fault's end
+  int inbound_cut_left_ = 0;
   int lost_on_isolated_ = 0;
   bool isolated_said_unhealthy_ = false;
   std::optional<double> large_begun_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::map<std::string, std::unique_ptr<Box>> machines_;
+  std::map<std::string, std::unique_ptr<SimulatedMachine>> machines_;
   std::map<std::string, std::unique_ptr<JobModel>> jobs_;
   struct OnMachines {
     JobModel* job = nullptr;
--- a/tests/sim/current_controller.cc
+++ b/tests/sim/current_controller.cc
@@ -12,8 +12,8 @@
 namespace pitchfall::sim {
 namespace {
 
-constexpr size_t kMostItems = 200000;
-constexpr size_t kMostDepth = 16;
+constexpr size_t kMaxItems = 200000;
+constexpr size_t kMaxDepth = 16;
 
 class CurrentController : public SimulatedController {
  public:
@@ -71,7 +71,7 @@
 }
 
 Transaction DecodeTransaction(const std::string& body) {
-  wire::Message message(body, kMostItems, kMostDepth);
+  wire::Message message(body, kMaxItems, kMaxDepth);
   wire::Fields in(message.root());
   Transaction transaction;
   const auto& conditions = in.List("if");
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -38,7 +38,7 @@
   to.shape = CastEnum<old::Shape>(spec.shape);
   to.priority = CastEnum<old::Priority>(spec.priority);
   to.tasks = spec.tasks;
-  to.need = ToOld(spec.need);
+  to.need = ToOld(spec.resources);
   to.image = spec.image;
   to.image_gb = spec.image_gb;
   to.types = spec.types;
@@ -63,7 +63,7 @@
   to.session = heartbeat.agent_epoch;
   to.seq = heartbeat.seq;
   to.token = heartbeat.fencing_token;
-  to.notice = heartbeat.notice;
+  to.notice = heartbeat.preemption_notice;
   for (const ReportedTask& task : heartbeat.tasks) {
     to.tasks.push_back({task.job, task.task, task.attempt,
                         CastEnum<old::TaskState>(task.state),
@@ -111,7 +111,7 @@
   to.status = reply.status;
   to.no_capacity = reply.no_capacity;
   for (const MachineType& type : reply.types) to.types.push_back(ToOld(type));
-  to.rented = reply.rented;
+  to.rented = reply.created;
   for (const ListedMachine& machine : reply.listed) {
     to.listed.push_back({machine.name, machine.address, machine.type,
                          machine.zone, machine.spot,
@@ -157,7 +157,7 @@
 
 CloudRequest FromOld(const old::GetTypes&) { return GetTypes{}; }
 CloudRequest FromOld(const old::Rent& rent) {
-  return Rent{rent.name, rent.type, rent.zone, rent.spot, rent.count};
+  return CreateInstances{rent.name, rent.type, rent.zone, rent.spot, rent.count};
 }
 CloudRequest FromOld(const old::DeleteMachines& request) {
   return DeleteMachines{request.machines};
--- a/tests/sizing_test.cc
+++ b/tests/sizing_test.cc
@@ -14,13 +14,13 @@
 
 TEST(Target, WorkedByHand) {
   TargetInputs in;
-  in.room = 4;
+  in.capacity = 4;
   in.waiting = 9;
   in.delay_price = 0.5;
   in.rent = 2;
   in.curve = {4, 0};
   in.least_utilisation = 0;
-  in.most_spare = 100;
+  in.max_spare = 100;
   in.delay_bound = 0.1;  // the cap is far away
   // 4 + sqrt(9 * 0.5 * 4 * 4 / 2) = 4 + 6
   EXPECT_EQ(Target(in), 10);
@@ -30,32 +30,32 @@
   in.least_utilisation = 0.8;  // at most 4 / 0.8
   EXPECT_EQ(Target(in), 5);
   in.least_utilisation = 0;
-  in.most_spare = 1;  // at most 4 + 2
+  in.max_spare = 1;  // at most 4 + 2
   EXPECT_EQ(Target(in), 6);
   in.waiting = 0;
   EXPECT_EQ(Target(in), 4);
-  in.room = 4.2;
+  in.capacity = 4.2;
   EXPECT_EQ(Target(in), 5);
-  in.room = 0;
+  in.capacity = 0;
   EXPECT_EQ(Target(in), 0);
 }
 
 // The square root is where waiting cost and rent together are least.
 TEST(Target, IsTheMinimumOfThePlainCost) {
   TargetInputs in;
-  in.room = 10;
+  in.capacity = 10;
   in.waiting = 30;
   in.delay_price = 0.2;
   in.rent = 1.5;
   in.curve = {3, 1};
   in.least_utilisation = 0;
-  in.most_spare = 100;
+  in.max_spare = 100;
   in.delay_bound = 1.1;
   double best = 0;
   double best_cost = 1e18;
-  for (double x = in.room + 0.01; x < 100; x += 0.01) {
-    double cost =
-        in.waiting * in.delay_price * in.curve.At(in.room / x) + in.rent * x;
+  for (double x = in.capacity + 0.01; x < 100; x += 0.01) {
+    double cost = in.waiting * in.delay_price * in.curve.At(in.capacity / x) +
+                  in.rent * x;
     if (cost < best_cost) {
       best_cost = cost;
       best = x;
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -15,8 +15,8 @@
 #include <string_view>
 #include <vector>
 
+#include "sim/cluster_simulation.h"
 #include "sim/play.h"
-#include "sim/world.h"
 
 namespace pitchfall::sim {
 namespace {
@@ -28,24 +28,24 @@
 
 struct Schedule {
   const char* kind = "";
-  WorldConfig config;
-  std::function<void(World&)> prepare;
+  SimulationConfig config;
+  std::function<void(ClusterSimulation&)> prepare;
 };
 
-WorldConfig RandomConfig(uint64_t seed) {
-  WorldConfig config;
+SimulationConfig RandomConfig(uint64_t seed) {
+  SimulationConfig config;
   config.seed = seed;
   config.partition_count = seed % 4;
-  if (seed % 3 == 0) config.trouble_every = Seconds(3);
+  if (seed % 3 == 0) config.fault_interval = Seconds(3);
   if (seed % 2 == 0) {
-    config.fleet_troubles = true;
+    config.fleet_faults = true;
     config.longest_run_s = 20;
     config.team_limit = 120;
     config.capacity = 20;
     config.nodes = 2 + seed % 5;
   }
   if (seed % 5 != 0) {
-    config.meeting_troubles = true;
+    config.compound_faults = true;
     config.odd_requests = true;
     config.longest_run_s = seed % 7 == 0 ? 60 : 25;
     config.team_limit = seed % 4 == 0 ? 24 : 120;
@@ -55,49 +55,50 @@
 }
 
 Schedule StandingJobs(uint64_t seed) {
-  WorldConfig config;
+  SimulationConfig config;
   config.seed = seed;
-  config.meeting_troubles = seed % 2 == 0;
-  config.fleet_troubles = seed % 4 < 2;
-  return {"standing", config, [](World& world) {
-            world.AddServiceAt(3, kService, 4, 1).spread = true;
-            world.AddServiceAt(20, kOtherService, 3, 2);
-            world.At(40, [&world] { world.KillMachines(0.3); });
-            world.CancelAt(80, kOtherService);
-            world.CancelAt(240, kService);
+  config.compound_faults = seed % 2 == 0;
+  config.fleet_faults = seed % 4 < 2;
+  return {"standing", config, [](ClusterSimulation& simulation) {
+            simulation.AddServiceAt(3, kService, 4, 1).spread = true;
+            simulation.AddServiceAt(20, kOtherService, 3, 2);
+            simulation.At(40, [&simulation] { simulation.KillMachines(0.3); });
+            simulation.CancelAt(80, kOtherService);
+            simulation.CancelAt(240, kService);
           }};
 }
 
 Schedule MixedVersions(uint64_t seed) {
-  WorldConfig config;
+  SimulationConfig config;
   config.seed = seed;
   config.partition_count = seed % 4;
-  config.meeting_troubles = seed % 2 == 0;
+  config.compound_faults = seed % 2 == 0;
   config.begins_with_production = true;
   config.next_value_kb = 2;
   config.next_txn_ops = 4;
-  return {"mixed", config, [](World& world) {
+  return {"mixed", config, [](ClusterSimulation& simulation) {
             constexpr size_t kControllers = 3;
             for (size_t i = 0; i < kControllers; ++i) {
               double second = 15 + 6 * static_cast<double>(i);
-              world.At(second,
-                       [&world, i] { world.UpgradeNode(i, Seconds(1)); });
+              simulation.At(second, [&simulation, i] {
+                simulation.UpgradeNode(i, Seconds(1));
+              });
             }
-            world.AddServiceAt(75, kService, 4, 1);
-            world.At(80, [&world] { world.LowerStateLimits(); });
-            world.CancelAt(240, kService);
+            simulation.AddServiceAt(75, kService, 4, 1);
+            simulation.At(80, [&simulation] { simulation.LowerStateLimits(); });
+            simulation.CancelAt(240, kService);
           }};
 }
 
 Schedule LargeFleet(uint64_t seed) {
-  WorldConfig config = CalmConfig(seed);
+  SimulationConfig config = CalmConfig(seed);
   config.nodes = 2;
   config.jobs = 20;
   config.wide_jobs = 4;
   config.team_limit = 100000;
   config.capacity = 200;
   config.machine_step_s = 0.2;
-  config.trouble_every = Seconds(20);
+  config.fault_interval = Seconds(20);
   config.end = Seconds(160);
   return {"large", config, {}};
 }
@@ -122,30 +123,32 @@
   for (uint64_t seed = first; seed < first + count; ++seed) {
     for (Schedule& schedule : SchedulesOf(seed)) {
       schedule.config.digest_effects = true;
-      World world(schedule.config);
-      if (schedule.prepare) schedule.prepare(world);
-      world.Run();
+      ClusterSimulation simulation(schedule.config);
+      if (schedule.prepare) schedule.prepare(simulation);
+      simulation.Run();
       std::printf("%" PRIu64 " %s %016" PRIx64 " accepted=%d finished=%d\n",
-                  seed, schedule.kind, world.effect_digest(), world.accepted(),
-                  world.finished());
+                  seed, schedule.kind, simulation.effect_digest(),
+                  simulation.accepted(), simulation.finished());
     }
   }
 }
 
 // Whether the schedule had no finding.
 bool PlayRandom(uint64_t seed, bool tell) {
-  WorldConfig config = RandomConfig(seed);
+  SimulationConfig config = RandomConfig(seed);
   config.log_debug = tell;
-  World world(config);
-  world.Run();
+  ClusterSimulation simulation(config);
+  simulation.Run();
   if (tell) {
-    for (const std::string& line : world.log()) std::puts(line.c_str());
+    for (const std::string& line : simulation.log()) std::puts(line.c_str());
   }
-  bool lost = world.finished() != world.accepted();
-  if (world.violations().empty() && !lost) return true;
+  bool lost = simulation.finished() != simulation.accepted();
+  if (simulation.violations().empty() && !lost) return true;
   std::printf("seed %" PRIu64 ": %s finished %d of %d\n", seed,
-              world.violations().empty() ? "-" : world.violations()[0].c_str(),
-              world.finished(), world.accepted());
+              simulation.violations().empty()
+                  ? "-"
+                  : simulation.violations()[0].c_str(),
+              simulation.finished(), simulation.accepted());
   return false;
 }
 
--- a/tests/standing_jobs_test.cc
+++ b/tests/standing_jobs_test.cc
@@ -11,88 +11,90 @@
 namespace pitchfall {
 namespace {
 
-using sim::World;
-using sim::WorldConfig;
+using sim::ClusterSimulation;
+using sim::SimulationConfig;
 
 constexpr char kService[] = "run-600001";
 constexpr char kOther[] = "run-600002";
 
-void StandingConfig(WorldConfig& config) {
+void StandingConfig(SimulationConfig& config) {
   config.jobs = 8;
   config.end = Seconds(260);
 }
 
 TEST(StandingJobs, RunUntilTheyAreCancelled) {
-  sim::Play(StandingConfig, [](World& world) {
-    world.AddServiceAt(5, kService, 4, 2);
-    world.AddServiceAt(6, kOther, 3, 1).spread = true;
-    world.At(40, [&] {
-      EXPECT_EQ(world.replicas_up(kService), 4) << world.Told();
-      EXPECT_EQ(world.replicas_up(kOther), 3) << world.Told();
+  sim::Play(StandingConfig, [](ClusterSimulation& simulation) {
+    simulation.AddServiceAt(5, kService, 4, 2);
+    simulation.AddServiceAt(6, kOther, 3, 1).spread = true;
+    simulation.At(40, [&] {
+      EXPECT_EQ(simulation.replicas_up(kService), 4) << simulation.Story();
+      EXPECT_EQ(simulation.replicas_up(kOther), 3) << simulation.Story();
     });
-    world.CancelAt(90, kService);
-    world.At(112, [&] { EXPECT_EQ(world.replicas_up(kService), 0); });
-    world.At(150, [&] { EXPECT_EQ(world.replicas_up(kOther), 3); });
-    world.CancelAt(160, kOther);
+    simulation.CancelAt(90, kService);
+    simulation.At(112, [&] { EXPECT_EQ(simulation.replicas_up(kService), 0); });
+    simulation.At(150, [&] { EXPECT_EQ(simulation.replicas_up(kOther), 3); });
+    simulation.CancelAt(160, kOther);
   });
 }
 
 TEST(StandingJobs, ReplicasThatEndRunAgain) {
-  sim::Play(StandingConfig, [](World& world) {
-    world.AddServiceAt(5, kService, 6, 1);
-    world.At(40, [&] {
-      world.EndReplicas(1);
-      EXPECT_EQ(world.replicas_up(kService), 0);
+  sim::Play(StandingConfig, [](ClusterSimulation& simulation) {
+    simulation.AddServiceAt(5, kService, 6, 1);
+    simulation.At(40, [&] {
+      simulation.EndReplicas(1);
+      EXPECT_EQ(simulation.replicas_up(kService), 0);
     });
-    world.At(70, [&] { EXPECT_EQ(world.replicas_up(kService), 6); });
+    simulation.At(70, [&] { EXPECT_EQ(simulation.replicas_up(kService), 6); });
     // Again and again: it is never given up.
     for (int second = 75; second < 105; second += 5) {
-      world.At(second, [&] { world.EndReplicas(1); });
+      simulation.At(second, [&] { simulation.EndReplicas(1); });
     }
-    world.At(170, [&] {
-      EXPECT_EQ(world.replicas_up(kService), 6) << world.Told();
+    simulation.At(170, [&] {
+      EXPECT_EQ(simulation.replicas_up(kService), 6) << simulation.Story();
     });
-    world.CancelAt(172, kService);
+    simulation.CancelAt(172, kService);
   });
 }
 
 TEST(StandingJobs, ComeBackWhenMachinesAndControllersAreLost) {
-  sim::Play(StandingConfig, [](World& world) {
-    world.AddServiceAt(5, kService, 5, 2);
-    world.AddServiceAt(5, kOther, 4, 2).one_zone = true;
-    world.At(40, [&] { world.KillMachines(0.5); });
-    world.At(41, [&] { world.CrashNode(world.OwnerOf(0), Seconds(3)); });
-    world.At(60, [&] { world.StopState(Seconds(10)); });
-    world.At(62, [&] { world.KillMachines(0.3); });
-    world.At(90, [&] { world.CrashAllNodes(4); });
-    world.At(165, [&] {
-      EXPECT_EQ(world.replicas_up(kService), 5) << world.Told();
-      EXPECT_EQ(world.replicas_up(kOther), 4) << world.Told();
+  sim::Play(StandingConfig, [](ClusterSimulation& simulation) {
+    simulation.AddServiceAt(5, kService, 5, 2);
+    simulation.AddServiceAt(5, kOther, 4, 2).one_zone = true;
+    simulation.At(40, [&] { simulation.KillMachines(0.5); });
+    simulation.At(
+        41, [&] { simulation.CrashNode(simulation.OwnerOf(0), Seconds(3)); });
+    simulation.At(60, [&] { simulation.StopState(Seconds(10)); });
+    simulation.At(62, [&] { simulation.KillMachines(0.3); });
+    simulation.At(90, [&] { simulation.CrashAllNodes(4); });
+    simulation.At(165, [&] {
+      EXPECT_EQ(simulation.replicas_up(kService), 5) << simulation.Story();
+      EXPECT_EQ(simulation.replicas_up(kOther), 4) << simulation.Story();
     });
-    world.CancelAt(170, kService);
-    world.CancelAt(170, kOther);
+    simulation.CancelAt(170, kService);
+    simulation.CancelAt(170, kOther);
   });
 }
 
-// Services take part in random schedules of all troubles.
+// Services take part in random schedules of all faults.
 TEST(StandingJobs, KeepTheRulesInRandomSchedules) {
   for (uint64_t seed = 101; seed <= 112; ++seed) {
     SCOPED_TRACE(seed);
-    WorldConfig config;
+    SimulationConfig config;
     config.seed = seed;
-    config.meeting_troubles = seed % 2 == 0;
-    config.fleet_troubles = seed % 3 == 0;
-    World world(config);
-    world.AddServiceAt(3, kService, 4, 1).spread = true;
-    world.AddServiceAt(20, kOther, 3, 2);
-    world.CancelAt(80, kOther);
-    world.CancelAt(240, kService);
-    world.At(200, [&] {
-      int expected = world.called_off(kService) ? 0 : 4;
-      EXPECT_EQ(world.replicas_up(kService), expected) << world.Told();
+    config.compound_faults = seed % 2 == 0;
+    config.fleet_faults = seed % 3 == 0;
+    ClusterSimulation simulation(config);
+    simulation.AddServiceAt(3, kService, 4, 1).spread = true;
+    simulation.AddServiceAt(20, kOther, 3, 2);
+    simulation.CancelAt(80, kOther);
+    simulation.CancelAt(240, kService);
+    simulation.At(200, [&] {
+      int expected = simulation.called_off(kService) ? 0 : 4;
+      EXPECT_EQ(simulation.replicas_up(kService), expected)
+          << simulation.Story();
     });
-    world.Run();
-    sim::ExpectRulesKept(world);
+    simulation.Run();
+    sim::ExpectRulesKept(simulation);
   }
 }
 
@@ -104,7 +106,7 @@
   spec.shape = Shape::kService;
   spec.priority = Priority::kProduction;
   spec.tasks = replicas;
-  spec.need = Resources::FromDecimals(cpus, 0, 1);
+  spec.resources = Resources::FromDecimals(cpus, 0, 1);
   spec.image = "img";
   return spec;
 }
@@ -187,26 +189,28 @@
     bound.job = &job;
     bound.running_since = now - Seconds(ran_s);
     machine.bound[{job.spec().id, task}] = bound;
-    machine.used += job.spec().need;
+    machine.used += job.spec().resources;
   };
   hold(low, 0, 40);
   hold(low, 1, 5);
   hold(same, 0, 1);
   hold(same, 1, 1);
   auto found =
-      FindDisplacement(Service(1, 2), machine, ExpectedRoom(machine), now);
+      FindDisplacement(Service(1, 2), machine, ExpectedCapacity(machine), now);
   ASSERT_TRUE(found);
   ASSERT_EQ(found->tasks.size(), 1u);
   EXPECT_EQ(found->tasks[0], TaskKey("run-5", 1));
   EXPECT_EQ(found->lost_s, 10);
-  found = FindDisplacement(Service(1, 4), machine, ExpectedRoom(machine), now);
+  found =
+      FindDisplacement(Service(1, 4), machine, ExpectedCapacity(machine), now);
   ASSERT_TRUE(found);
   EXPECT_EQ(found->tasks.size(), 2u);
   EXPECT_FALSE(
-      FindDisplacement(Service(1, 6), machine, ExpectedRoom(machine), now));
+      FindDisplacement(Service(1, 6), machine, ExpectedCapacity(machine), now));
   // One that is stopping already makes the room.
   machine.bound.at({"run-5", 1}).preempted = true;
-  found = FindDisplacement(Service(1, 2), machine, ExpectedRoom(machine), now);
+  found =
+      FindDisplacement(Service(1, 2), machine, ExpectedCapacity(machine), now);
   ASSERT_TRUE(found);
   EXPECT_TRUE(found->tasks.empty());
 }
