--- a/src/cli/tuning_file.h
+++ b/src/cli/tuning_file.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "core/settings.h"
+#include "core/model/settings.h"
 
 namespace pitchfall::cli {
 
--- a/src/core/autoscaler.cc
+++ b/src/core/autoscaler/autoscaler.cc
@@ -1,11 +1,11 @@
-#include "core/autoscaler.h"
+#include "core/autoscaler/autoscaler.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "core/sizing/forecast.h"
-#include "core/sizing/tracking.h"
+#include "core/autoscaler/sizing/forecast.h"
+#include "core/autoscaler/sizing/tracking.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -1,7 +1,7 @@
 // The leader's work: how many machines there should be, renting them, choosing
 // which to return. The owner of partition 0 leads.
-#ifndef PITCHFALL_CORE_AUTOSCALER_H_
-#define PITCHFALL_CORE_AUTOSCALER_H_
+#ifndef PITCHFALL_CORE_AUTOSCALER_AUTOSCALER_H_
+#define PITCHFALL_CORE_AUTOSCALER_AUTOSCALER_H_
 
 #include <cstdint>
 #include <map>
@@ -12,9 +12,9 @@
 #include <tuple>
 #include <vector>
 
-#include "core/context.h"
-#include "core/demand.h"
-#include "core/sizing/target.h"
+#include "core/autoscaler/sizing/target.h"
+#include "core/scheduling/demand.h"
+#include "core/state/context.h"
 
 namespace pitchfall {
 
--- a/src/core/sizing/forecast.cc
+++ b/src/core/autoscaler/sizing/forecast.cc
@@ -1,4 +1,4 @@
-#include "core/sizing/forecast.h"
+#include "core/autoscaler/sizing/forecast.h"
 
 #include <Eigen/Dense>
 #include <algorithm>
--- a/src/core/sizing/forecast.h
+++ b/src/core/autoscaler/sizing/forecast.h
@@ -1,7 +1,7 @@
 // The forecast of requested capacity: ARIMA(2,1,1), fitted anew each period on
 // a sliding window.
-#ifndef PITCHFALL_CORE_SIZING_FORECAST_H_
-#define PITCHFALL_CORE_SIZING_FORECAST_H_
+#ifndef PITCHFALL_CORE_AUTOSCALER_SIZING_FORECAST_H_
+#define PITCHFALL_CORE_AUTOSCALER_SIZING_FORECAST_H_
 
 #include <span>
 #include <vector>
@@ -34,4 +34,4 @@
 
 }  // namespace pitchfall::sizing
 
-#endif  // PITCHFALL_CORE_SIZING_FORECAST_H_
+#endif  // PITCHFALL_CORE_AUTOSCALER_SIZING_FORECAST_H_
--- a/src/core/sizing/target.cc
+++ b/src/core/autoscaler/sizing/target.cc
@@ -1,4 +1,4 @@
-#include "core/sizing/target.h"
+#include "core/autoscaler/sizing/target.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/sizing/target.h
+++ b/src/core/autoscaler/sizing/target.h
@@ -3,8 +3,8 @@
 // Units: w and the target are machines; delays are seconds; p is money for each
 // second that one waiting task is late, over one period; rent is money for one
 // machine and period.
-#ifndef PITCHFALL_CORE_SIZING_TARGET_H_
-#define PITCHFALL_CORE_SIZING_TARGET_H_
+#ifndef PITCHFALL_CORE_AUTOSCALER_SIZING_TARGET_H_
+#define PITCHFALL_CORE_AUTOSCALER_SIZING_TARGET_H_
 
 #include <span>
 
@@ -47,4 +47,4 @@
 
 }  // namespace pitchfall::sizing
 
-#endif  // PITCHFALL_CORE_SIZING_TARGET_H_
+#endif  // PITCHFALL_CORE_AUTOSCALER_SIZING_TARGET_H_
--- a/src/core/sizing/tracking.cc
+++ b/src/core/autoscaler/sizing/tracking.cc
@@ -1,4 +1,4 @@
-#include "core/sizing/tracking.h"
+#include "core/autoscaler/sizing/tracking.h"
 
 #include <Eigen/Dense>
 
--- a/src/core/sizing/tracking.h
+++ b/src/core/autoscaler/sizing/tracking.h
@@ -1,7 +1,7 @@
 // The tracking step: how far to move the number of machines now, given the
 // targets of the next periods.
-#ifndef PITCHFALL_CORE_SIZING_TRACKING_H_
-#define PITCHFALL_CORE_SIZING_TRACKING_H_
+#ifndef PITCHFALL_CORE_AUTOSCALER_SIZING_TRACKING_H_
+#define PITCHFALL_CORE_AUTOSCALER_SIZING_TRACKING_H_
 
 #include <span>
 
@@ -15,4 +15,4 @@
 
 }  // namespace pitchfall::sizing
 
-#endif  // PITCHFALL_CORE_SIZING_TRACKING_H_
+#endif  // PITCHFALL_CORE_AUTOSCALER_SIZING_TRACKING_H_
--- a/src/core/hash.h
+++ b/src/core/base/rendezvous_hash.h
@@ -1,8 +1,8 @@
 // Rendezvous hashing: every controller works out the same placement of machines
 // in partitions and of orphaned partitions on controllers, and a change of one
 // moves no other.
-#ifndef PITCHFALL_CORE_HASH_H_
-#define PITCHFALL_CORE_HASH_H_
+#ifndef PITCHFALL_CORE_BASE_RENDEZVOUS_HASH_H_
+#define PITCHFALL_CORE_BASE_RENDEZVOUS_HASH_H_
 
 #include <cstdint>
 #include <string>
@@ -42,4 +42,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_HASH_H_
+#endif  // PITCHFALL_CORE_BASE_RENDEZVOUS_HASH_H_
--- a/src/core/resources.h
+++ b/src/core/base/resources.h
@@ -1,7 +1,7 @@
 // Amounts of processor, accelerator and memory as exact integers (millionths),
 // so that sums of decimals cannot drift past a machine's or a team's size.
-#ifndef PITCHFALL_CORE_RESOURCES_H_
-#define PITCHFALL_CORE_RESOURCES_H_
+#ifndef PITCHFALL_CORE_BASE_RESOURCES_H_
+#define PITCHFALL_CORE_BASE_RESOURCES_H_
 
 #include <algorithm>
 #include <cmath>
@@ -60,4 +60,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_RESOURCES_H_
+#endif  // PITCHFALL_CORE_BASE_RESOURCES_H_
--- a/src/core/time.h
+++ b/src/core/base/time.h
@@ -1,7 +1,7 @@
 // Times and durations. Everything is counted in whole microseconds; the steady
 // clock and the time of day are different types, so that they cannot be mixed.
-#ifndef PITCHFALL_CORE_TIME_H_
-#define PITCHFALL_CORE_TIME_H_
+#ifndef PITCHFALL_CORE_BASE_TIME_H_
+#define PITCHFALL_CORE_BASE_TIME_H_
 
 #include <chrono>
 #include <cmath>
@@ -46,4 +46,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_TIME_H_
+#endif  // PITCHFALL_CORE_BASE_TIME_H_
--- a/src/core/budget.h
+++ b/src/core/base/token_bucket.h
@@ -1,10 +1,10 @@
 // A token bucket: how much of a shared rate this process may use.
-#ifndef PITCHFALL_CORE_BUDGET_H_
-#define PITCHFALL_CORE_BUDGET_H_
+#ifndef PITCHFALL_CORE_BASE_TOKEN_BUCKET_H_
+#define PITCHFALL_CORE_BASE_TOKEN_BUCKET_H_
 
 #include <algorithm>
 
-#include "core/time.h"
+#include "core/base/time.h"
 
 namespace pitchfall {
 
@@ -56,4 +56,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_BUDGET_H_
+#endif  // PITCHFALL_CORE_BASE_TOKEN_BUCKET_H_
--- a/src/core/version.h
+++ b/src/core/base/version.h
@@ -2,8 +2,8 @@
 //
 // A controller announces its version in its node record. What an older one
 // would not understand is used only while no live controller is older.
-#ifndef PITCHFALL_CORE_VERSION_H_
-#define PITCHFALL_CORE_VERSION_H_
+#ifndef PITCHFALL_CORE_BASE_VERSION_H_
+#define PITCHFALL_CORE_BASE_VERSION_H_
 
 #include <cstdint>
 
@@ -18,4 +18,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_VERSION_H_
+#endif  // PITCHFALL_CORE_BASE_VERSION_H_
--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/hash.h"
+#include "core/base/rendezvous_hash.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "core/autoscaler.h"
-#include "core/context.h"
-#include "core/ownership.h"
-#include "core/partition.h"
-#include "core/users.h"
+#include "core/autoscaler/autoscaler.h"
+#include "core/jobs/users.h"
+#include "core/membership/ownership.h"
+#include "core/partition/partition.h"
+#include "core/state/context.h"
 
 namespace pitchfall {
 
--- a/src/core/users.cc
+++ b/src/core/jobs/users.cc
@@ -1,11 +1,11 @@
-#include "core/users.h"
+#include "core/jobs/users.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "core/hash.h"
-#include "core/limits.h"
+#include "core/base/rendezvous_hash.h"
+#include "core/model/limits.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/users.h
+++ b/src/core/jobs/users.h
@@ -1,14 +1,14 @@
 // What users ask for: submissions, polls and cancellations. Any controller
 // serves any user; nothing is acknowledged before it is stored.
-#ifndef PITCHFALL_CORE_USERS_H_
-#define PITCHFALL_CORE_USERS_H_
+#ifndef PITCHFALL_CORE_JOBS_USERS_H_
+#define PITCHFALL_CORE_JOBS_USERS_H_
 
 #include <deque>
 #include <map>
 #include <string>
 #include <vector>
 
-#include "core/context.h"
+#include "core/state/context.h"
 
 namespace pitchfall {
 
@@ -64,4 +64,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_USERS_H_
+#endif  // PITCHFALL_CORE_JOBS_USERS_H_
--- a/src/core/fencing_token_announcer.cc
+++ b/src/core/membership/fencing_token_announcer.cc
@@ -1,8 +1,8 @@
-#include "core/fencing_token_announcer.h"
+#include "core/membership/fencing_token_announcer.h"
 
 #include <utility>
 
-#include "core/hash.h"
+#include "core/base/rendezvous_hash.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/fencing_token_announcer.h
+++ b/src/core/membership/fencing_token_announcer.h
@@ -6,8 +6,8 @@
 // them; only a higher fencing token makes these look for the new owner. So the
 // cloud is asked for all machines, and each worker that has not been heard is
 // inspected and sent the fencing token in a message without commands.
-#ifndef PITCHFALL_CORE_FENCING_TOKEN_ANNOUNCER_H_
-#define PITCHFALL_CORE_FENCING_TOKEN_ANNOUNCER_H_
+#ifndef PITCHFALL_CORE_MEMBERSHIP_FENCING_TOKEN_ANNOUNCER_H_
+#define PITCHFALL_CORE_MEMBERSHIP_FENCING_TOKEN_ANNOUNCER_H_
 
 #include <cstdint>
 #include <deque>
@@ -15,9 +15,9 @@
 #include <memory>
 #include <string>
 
-#include "core/context.h"
-#include "core/messages.h"
-#include "core/time.h"
+#include "core/base/time.h"
+#include "core/model/messages.h"
+#include "core/state/context.h"
 
 namespace pitchfall {
 
--- a/src/core/ownership.cc
+++ b/src/core/membership/ownership.cc
@@ -1,9 +1,9 @@
-#include "core/ownership.h"
+#include "core/membership/ownership.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/hash.h"
+#include "core/base/rendezvous_hash.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/ownership.h
+++ b/src/core/membership/ownership.h
@@ -5,8 +5,8 @@
 // Who owns a partition is read from the state cache alone. The modification
 // revision of a partition's key is its fencing token: it rises with every
 // change of owner, and every write of an owner depends on it.
-#ifndef PITCHFALL_CORE_OWNERSHIP_H_
-#define PITCHFALL_CORE_OWNERSHIP_H_
+#ifndef PITCHFALL_CORE_MEMBERSHIP_OWNERSHIP_H_
+#define PITCHFALL_CORE_MEMBERSHIP_OWNERSHIP_H_
 
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "core/context.h"
+#include "core/state/context.h"
 
 namespace pitchfall {
 
@@ -70,4 +70,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_OWNERSHIP_H_
+#endif  // PITCHFALL_CORE_MEMBERSHIP_OWNERSHIP_H_
--- a/src/core/free_capacity.h
+++ b/src/core/model/free_capacity.h
@@ -1,8 +1,8 @@
 // Free processors of every partition, as its owner last told, less what this
 // controller has given to it since. They are told by the size of tasks: eight
 // machines with one free processor each have no capacity for a task of four.
-#ifndef PITCHFALL_CORE_FREE_CAPACITY_H_
-#define PITCHFALL_CORE_FREE_CAPACITY_H_
+#ifndef PITCHFALL_CORE_MODEL_FREE_CAPACITY_H_
+#define PITCHFALL_CORE_MODEL_FREE_CAPACITY_H_
 
 #include <algorithm>
 #include <array>
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "core/records.h"
-#include "core/resources.h"
-#include "core/time.h"
+#include "core/base/resources.h"
+#include "core/base/time.h"
+#include "core/model/records.h"
 
 namespace pitchfall {
 
--- a/src/core/jobs.cc
+++ b/src/core/model/job.cc
@@ -1,8 +1,8 @@
-#include "core/jobs.h"
+#include "core/model/job.h"
 
 #include <algorithm>
 
-#include "core/limits.h"
+#include "core/model/limits.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/jobs.h
+++ b/src/core/model/job.h
@@ -1,15 +1,15 @@
 // A job and what has become of its tasks.
-#ifndef PITCHFALL_CORE_JOBS_H_
-#define PITCHFALL_CORE_JOBS_H_
+#ifndef PITCHFALL_CORE_MODEL_JOB_H_
+#define PITCHFALL_CORE_MODEL_JOB_H_
 
 #include <algorithm>
 #include <cstdint>
 #include <map>
 #include <string>
 
-#include "core/messages.h"
-#include "core/records.h"
-#include "core/settings.h"
+#include "core/model/messages.h"
+#include "core/model/records.h"
+#include "core/model/settings.h"
 
 namespace pitchfall {
 
@@ -93,4 +93,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_JOBS_H_
+#endif  // PITCHFALL_CORE_MODEL_JOB_H_
--- a/src/core/limits.h
+++ b/src/core/model/limits.h
@@ -1,6 +1,6 @@
 // Sizes that several parts of the core must agree on.
-#ifndef PITCHFALL_CORE_LIMITS_H_
-#define PITCHFALL_CORE_LIMITS_H_
+#ifndef PITCHFALL_CORE_MODEL_LIMITS_H_
+#define PITCHFALL_CORE_MODEL_LIMITS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -24,4 +24,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_LIMITS_H_
+#endif  // PITCHFALL_CORE_MODEL_LIMITS_H_
--- a/src/core/machine.cc
+++ b/src/core/model/machine.cc
@@ -1,4 +1,4 @@
-#include "core/machine.h"
+#include "core/model/machine.h"
 
 #include <algorithm>
 
--- a/src/core/machine.h
+++ b/src/core/model/machine.h
@@ -1,7 +1,7 @@
 // A machine as its partition's owner knows it: what is bound to it in the state
 // service, what its worker has reported, and what may be concluded from both.
-#ifndef PITCHFALL_CORE_MACHINES_H_
-#define PITCHFALL_CORE_MACHINES_H_
+#ifndef PITCHFALL_CORE_MODEL_MACHINE_H_
+#define PITCHFALL_CORE_MODEL_MACHINE_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "core/jobs.h"
-#include "core/messages.h"
-#include "core/time.h"
+#include "core/base/time.h"
+#include "core/model/job.h"
+#include "core/model/messages.h"
 
 namespace pitchfall {
 
@@ -155,4 +155,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_MACHINES_H_
+#endif  // PITCHFALL_CORE_MODEL_MACHINE_H_
--- a/src/core/messages.h
+++ b/src/core/model/messages.h
@@ -1,7 +1,7 @@
 // Commands that the core takes in and effects that it asks for. The core never
 // touches a socket or a clock; src/io does that.
-#ifndef PITCHFALL_CORE_MESSAGES_H_
-#define PITCHFALL_CORE_MESSAGES_H_
+#ifndef PITCHFALL_CORE_MODEL_MESSAGES_H_
+#define PITCHFALL_CORE_MODEL_MESSAGES_H_
 
 #include <cstdint>
 #include <map>
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
-#include "core/free_capacity.h"
-#include "core/records.h"
-#include "core/time.h"
+#include "core/base/time.h"
+#include "core/model/free_capacity.h"
+#include "core/model/records.h"
 
 namespace pitchfall {
 
@@ -195,7 +195,7 @@
   double writes = 0;
 
   // The rest bounds how long owners may answer without the state service (see
-  // core/cancellation_watermark.h).
+  // core/state/cancellation_watermark.h).
   Duration uptime{0};        // of this process
   uint64_t revision = 0;     // up to which this controller knows everything
   SteadyTime sender_time{};  // the sender's clock; nobody else reads it
@@ -296,4 +296,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_MESSAGES_H_
+#endif  // PITCHFALL_CORE_MODEL_MESSAGES_H_
--- a/src/core/outbox.h
+++ b/src/core/model/outbox.h
@@ -1,7 +1,7 @@
 // Collects the effects of a batch of commands, and routes the replies to
 // outgoing calls back to whoever made them.
-#ifndef PITCHFALL_CORE_OUTBOX_H_
-#define PITCHFALL_CORE_OUTBOX_H_
+#ifndef PITCHFALL_CORE_MODEL_OUTBOX_H_
+#define PITCHFALL_CORE_MODEL_OUTBOX_H_
 
 #include <fmt/format.h>
 
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/messages.h"
+#include "core/model/messages.h"
 
 namespace pitchfall {
 
@@ -83,4 +83,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_OUTBOX_H_
+#endif  // PITCHFALL_CORE_MODEL_OUTBOX_H_
--- a/src/core/records.h
+++ b/src/core/model/records.h
@@ -1,7 +1,7 @@
 // What pitchfall keeps in the state service. These records are the truth; all
 // that a process holds besides is a cache of them or can be learned again.
-#ifndef PITCHFALL_CORE_RECORDS_H_
-#define PITCHFALL_CORE_RECORDS_H_
+#ifndef PITCHFALL_CORE_MODEL_RECORDS_H_
+#define PITCHFALL_CORE_MODEL_RECORDS_H_
 
 #include <algorithm>
 #include <boost/icl/interval_set.hpp>
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
-#include "core/resources.h"
-#include "core/time.h"
-#include "core/version.h"
+#include "core/base/resources.h"
+#include "core/base/time.h"
+#include "core/base/version.h"
 
 namespace pitchfall {
 
@@ -260,4 +260,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_RECORDS_H_
+#endif  // PITCHFALL_CORE_MODEL_RECORDS_H_
--- a/src/core/settings.h
+++ b/src/core/model/settings.h
@@ -1,6 +1,6 @@
 // What the core needs to know of the deployment, whatever file it came from.
-#ifndef PITCHFALL_CORE_SETTINGS_H_
-#define PITCHFALL_CORE_SETTINGS_H_
+#ifndef PITCHFALL_CORE_MODEL_SETTINGS_H_
+#define PITCHFALL_CORE_MODEL_SETTINGS_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "core/resources.h"
-#include "core/time.h"
+#include "core/base/resources.h"
+#include "core/base/time.h"
 
 namespace pitchfall {
 
@@ -103,4 +103,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_SETTINGS_H_
+#endif  // PITCHFALL_CORE_MODEL_SETTINGS_H_
--- a/src/core/failure_tracker.cc
+++ b/src/core/partition/failure_tracker.cc
@@ -1,4 +1,4 @@
-#include "core/failure_tracker.h"
+#include "core/partition/failure_tracker.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/failure_tracker.h
+++ b/src/core/partition/failure_tracker.h
@@ -3,8 +3,8 @@
 // A job that was submitted with a mistake fails wherever it runs; a faulty
 // machine fails whatever it starts. A single error shows neither. What is known
 // here is not stored: a new owner learns it again.
-#ifndef PITCHFALL_CORE_FAILURE_TRACKER_H_
-#define PITCHFALL_CORE_FAILURE_TRACKER_H_
+#ifndef PITCHFALL_CORE_PARTITION_FAILURE_TRACKER_H_
+#define PITCHFALL_CORE_PARTITION_FAILURE_TRACKER_H_
 
 #include <cstddef>
 #include <map>
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "core/time.h"
+#include "core/base/time.h"
 
 namespace pitchfall {
 
@@ -80,4 +80,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_FAILURE_TRACKER_H_
+#endif  // PITCHFALL_CORE_PARTITION_FAILURE_TRACKER_H_
--- a/src/core/partition.cc
+++ b/src/core/partition/partition.cc
@@ -1,12 +1,12 @@
-#include "core/partition.h"
+#include "core/partition/partition.h"
 
 #include <algorithm>
 
-#include "core/demand.h"
-#include "core/hash.h"
-#include "core/limits.h"
-#include "core/preemption.h"
-#include "core/segments.h"
+#include "core/base/rendezvous_hash.h"
+#include "core/model/limits.h"
+#include "core/scheduling/demand.h"
+#include "core/scheduling/preemption.h"
+#include "core/state/segments.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/partition.h
+++ b/src/core/partition/partition.h
@@ -8,8 +8,8 @@
 // the jobs whose tasks start. Nobody else writes what the partition owns, so
 // nothing else can have changed. Reports are answered after it, so that starts
 // and acknowledgements follow what is stored.
-#ifndef PITCHFALL_CORE_PARTITION_H_
-#define PITCHFALL_CORE_PARTITION_H_
+#ifndef PITCHFALL_CORE_PARTITION_PARTITION_H_
+#define PITCHFALL_CORE_PARTITION_PARTITION_H_
 
 #include <cstdint>
 #include <map>
@@ -20,13 +20,13 @@
 #include <utility>
 #include <vector>
 
-#include "core/context.h"
-#include "core/displacement.h"
-#include "core/failure_tracker.h"
-#include "core/fencing_token_announcer.h"
-#include "core/machine.h"
-#include "core/placement.h"
-#include "core/team_quota.h"
+#include "core/membership/fencing_token_announcer.h"
+#include "core/model/machine.h"
+#include "core/partition/failure_tracker.h"
+#include "core/scheduling/displacement.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/team_quota.h"
+#include "core/state/context.h"
 
 namespace pitchfall {
 
--- a/src/core/demand.cc
+++ b/src/core/scheduling/demand.cc
@@ -1,9 +1,9 @@
-#include "core/demand.h"
+#include "core/scheduling/demand.h"
 
 #include <algorithm>
 #include <map>
 
-#include "core/placement.h"
+#include "core/scheduling/placement.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/demand.h
+++ b/src/core/scheduling/demand.h
@@ -1,6 +1,6 @@
 // How much capacity the unfinished jobs ask for.
-#ifndef PITCHFALL_CORE_DEMAND_H_
-#define PITCHFALL_CORE_DEMAND_H_
+#ifndef PITCHFALL_CORE_SCHEDULING_DEMAND_H_
+#define PITCHFALL_CORE_SCHEDULING_DEMAND_H_
 
 #include <cstdint>
 #include <optional>
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "core/settings.h"
-#include "core/state_cache.h"
+#include "core/model/settings.h"
+#include "core/state/state_cache.h"
 
 namespace pitchfall {
 
@@ -43,4 +43,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_DEMAND_H_
+#endif  // PITCHFALL_CORE_SCHEDULING_DEMAND_H_
--- a/src/core/displacement.cc
+++ b/src/core/scheduling/displacement.cc
@@ -1,4 +1,4 @@
-#include "core/displacement.h"
+#include "core/scheduling/displacement.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/displacement.h
+++ b/src/core/scheduling/displacement.h
@@ -1,18 +1,18 @@
 // Which tasks of a machine to stop so that a more important one can start
 // there.
-#ifndef PITCHFALL_CORE_DISPLACEMENT_H_
-#define PITCHFALL_CORE_DISPLACEMENT_H_
+#ifndef PITCHFALL_CORE_SCHEDULING_DISPLACEMENT_H_
+#define PITCHFALL_CORE_SCHEDULING_DISPLACEMENT_H_
 
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <vector>
 
-#include "core/machine.h"
-#include "core/outbox.h"
-#include "core/placement.h"
-#include "core/resources.h"
-#include "core/time.h"
+#include "core/base/resources.h"
+#include "core/base/time.h"
+#include "core/model/machine.h"
+#include "core/model/outbox.h"
+#include "core/scheduling/placement.h"
 
 namespace pitchfall {
 
@@ -65,4 +65,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_DISPLACEMENT_H_
+#endif  // PITCHFALL_CORE_SCHEDULING_DISPLACEMENT_H_
--- a/src/core/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -1,4 +1,4 @@
-#include "core/placement.h"
+#include "core/scheduling/placement.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/core/placement.h
+++ b/src/core/scheduling/placement.h
@@ -1,6 +1,6 @@
 // Which waiting job goes first, and on which machine a task goes.
-#ifndef PITCHFALL_CORE_PLACEMENT_H_
-#define PITCHFALL_CORE_PLACEMENT_H_
+#ifndef PITCHFALL_CORE_SCHEDULING_PLACEMENT_H_
+#define PITCHFALL_CORE_SCHEDULING_PLACEMENT_H_
 
 #include <cstdint>
 #include <map>
@@ -9,11 +9,11 @@
 #include <tuple>
 #include <vector>
 
-#include "core/jobs.h"
-#include "core/machine.h"
-#include "core/settings.h"
-#include "core/state_cache.h"
-#include "core/time.h"
+#include "core/base/time.h"
+#include "core/model/job.h"
+#include "core/model/machine.h"
+#include "core/model/settings.h"
+#include "core/state/state_cache.h"
 
 namespace pitchfall {
 
@@ -69,4 +69,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_PLACEMENT_H_
+#endif  // PITCHFALL_CORE_SCHEDULING_PLACEMENT_H_
--- a/src/core/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -1,10 +1,10 @@
-#include "core/preemption.h"
+#include "core/scheduling/preemption.h"
 
 #include <algorithm>
 #include <boost/range/adaptor/reversed.hpp>
 #include <map>
 
-#include "core/placement.h"
+#include "core/scheduling/placement.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -1,16 +1,16 @@
 // Which running tasks should make capacity for more important work of their
 // team.
-#ifndef PITCHFALL_CORE_PREEMPTION_H_
-#define PITCHFALL_CORE_PREEMPTION_H_
+#ifndef PITCHFALL_CORE_SCHEDULING_PREEMPTION_H_
+#define PITCHFALL_CORE_SCHEDULING_PREEMPTION_H_
 
 #include <compare>
 #include <map>
 #include <string>
 #include <vector>
 
-#include "core/jobs.h"
-#include "core/settings.h"
-#include "core/state_cache.h"
+#include "core/model/job.h"
+#include "core/model/settings.h"
+#include "core/state/state_cache.h"
 
 namespace pitchfall {
 
@@ -41,4 +41,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_PREEMPTION_H_
+#endif  // PITCHFALL_CORE_SCHEDULING_PREEMPTION_H_
--- a/src/core/team_quota.cc
+++ b/src/core/scheduling/team_quota.cc
@@ -1,8 +1,8 @@
-#include "core/team_quota.h"
+#include "core/scheduling/team_quota.h"
 
 #include <algorithm>
 
-#include "core/placement.h"
+#include "core/scheduling/placement.h"
 
 namespace pitchfall {
 namespace {
--- a/src/core/team_quota.h
+++ b/src/core/scheduling/team_quota.h
@@ -4,8 +4,8 @@
 // the team's record; the sum of all quota shares stays within the limit. A
 // partition raises its quota share in the transaction that starts the tasks,
 // and gives back only what no task of its can hold.
-#ifndef PITCHFALL_CORE_TEAM_QUOTA_H_
-#define PITCHFALL_CORE_TEAM_QUOTA_H_
+#ifndef PITCHFALL_CORE_SCHEDULING_TEAM_QUOTA_H_
+#define PITCHFALL_CORE_SCHEDULING_TEAM_QUOTA_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,11 +13,11 @@
 #include <string>
 #include <utility>
 
-#include "core/context.h"
-#include "core/jobs.h"
-#include "core/records.h"
-#include "core/resources.h"
-#include "core/time.h"
+#include "core/base/resources.h"
+#include "core/base/time.h"
+#include "core/model/job.h"
+#include "core/model/records.h"
+#include "core/state/context.h"
 
 namespace pitchfall {
 
@@ -86,4 +86,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_TEAM_QUOTA_H_
+#endif  // PITCHFALL_CORE_SCHEDULING_TEAM_QUOTA_H_
--- a/src/core/cancellation_watermark.cc
+++ b/src/core/state/cancellation_watermark.cc
@@ -1,4 +1,4 @@
-#include "core/cancellation_watermark.h"
+#include "core/state/cancellation_watermark.h"
 
 #include <algorithm>
 
--- a/src/core/cancellation_watermark.h
+++ b/src/core/state/cancellation_watermark.h
@@ -11,17 +11,17 @@
 // counts only if its incarnation began before the last read here, which shows
 // what earlier incarnations had stored. One controller that is silent keeps all
 // at its last word.
-#ifndef PITCHFALL_CORE_CANCELLATION_WATERMARK_H_
-#define PITCHFALL_CORE_CANCELLATION_WATERMARK_H_
+#ifndef PITCHFALL_CORE_STATE_CANCELLATION_WATERMARK_H_
+#define PITCHFALL_CORE_STATE_CANCELLATION_WATERMARK_H_
 
 #include <map>
 #include <string>
 #include <utility>
 #include <vector>
 
-#include "core/messages.h"
-#include "core/settings.h"
-#include "core/time.h"
+#include "core/base/time.h"
+#include "core/model/messages.h"
+#include "core/model/settings.h"
 
 namespace pitchfall {
 
--- a/src/core/context.h
+++ b/src/core/state/context.h
@@ -1,19 +1,19 @@
 // What the parts of the core share within one controller.
-#ifndef PITCHFALL_CORE_CONTEXT_H_
-#define PITCHFALL_CORE_CONTEXT_H_
+#ifndef PITCHFALL_CORE_STATE_CONTEXT_H_
+#define PITCHFALL_CORE_STATE_CONTEXT_H_
 
 #include <cstdint>
 #include <set>
 #include <string>
 
-#include "core/budget.h"
-#include "core/cancellation_watermark.h"
-#include "core/free_capacity.h"
-#include "core/outbox.h"
-#include "core/settings.h"
-#include "core/state_cache.h"
-#include "core/state_limits.h"
-#include "core/state_watcher.h"
+#include "core/base/token_bucket.h"
+#include "core/model/free_capacity.h"
+#include "core/model/outbox.h"
+#include "core/model/settings.h"
+#include "core/state/cancellation_watermark.h"
+#include "core/state/state_cache.h"
+#include "core/state/state_limits.h"
+#include "core/state/state_watcher.h"
 
 namespace pitchfall {
 
@@ -40,4 +40,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_CONTEXT_H_
+#endif  // PITCHFALL_CORE_STATE_CONTEXT_H_
--- a/src/core/segments.cc
+++ b/src/core/state/segments.cc
@@ -1,4 +1,4 @@
-#include "core/segments.h"
+#include "core/state/segments.h"
 
 #include <algorithm>
 #include <map>
--- a/src/core/segments.h
+++ b/src/core/state/segments.h
@@ -17,8 +17,8 @@
 // transaction, it is emptied in steps: new slots are added to the ring, which
 // take the changes and as much of its content as fits, and it is overwritten
 // once little is left in it.
-#ifndef PITCHFALL_CORE_SEGMENTS_H_
-#define PITCHFALL_CORE_SEGMENTS_H_
+#ifndef PITCHFALL_CORE_STATE_SEGMENTS_H_
+#define PITCHFALL_CORE_STATE_SEGMENTS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -28,8 +28,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/records.h"
-#include "core/state_cache.h"
+#include "core/model/records.h"
+#include "core/state/state_cache.h"
 
 namespace pitchfall {
 
@@ -86,4 +86,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_SEGMENTS_H_
+#endif  // PITCHFALL_CORE_STATE_SEGMENTS_H_
--- a/src/core/state_cache.cc
+++ b/src/core/state/state_cache.cc
@@ -1,4 +1,4 @@
-#include "core/state_cache.h"
+#include "core/state/state_cache.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/core/state_cache.h
+++ b/src/core/state/state_cache.h
@@ -1,6 +1,6 @@
 // This process's copy of what the state service holds, kept by watch reads.
-#ifndef PITCHFALL_CORE_STATE_CACHE_H_
-#define PITCHFALL_CORE_STATE_CACHE_H_
+#ifndef PITCHFALL_CORE_STATE_STATE_CACHE_H_
+#define PITCHFALL_CORE_STATE_STATE_CACHE_H_
 
 #include <cstdint>
 #include <map>
@@ -13,9 +13,9 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/jobs.h"
-#include "core/messages.h"
-#include "core/records.h"
+#include "core/model/job.h"
+#include "core/model/messages.h"
+#include "core/model/records.h"
 
 namespace pitchfall {
 
--- a/src/core/state_limits.h
+++ b/src/core/state/state_limits.h
@@ -5,13 +5,13 @@
 // on. The smaller of the present and the announced ones apply from the first
 // write. If the service refuses a write for its size all the same, the bounds
 // are halved until writes pass, and return step by step.
-#ifndef PITCHFALL_CORE_STATE_LIMITS_H_
-#define PITCHFALL_CORE_STATE_LIMITS_H_
+#ifndef PITCHFALL_CORE_STATE_STATE_LIMITS_H_
+#define PITCHFALL_CORE_STATE_STATE_LIMITS_H_
 
 #include <algorithm>
 #include <cstddef>
 
-#include "core/settings.h"
+#include "core/model/settings.h"
 
 namespace pitchfall {
 
@@ -63,4 +63,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_STATE_LIMITS_H_
+#endif  // PITCHFALL_CORE_STATE_STATE_LIMITS_H_
--- a/src/core/state_watcher.cc
+++ b/src/core/state/state_watcher.cc
@@ -1,4 +1,4 @@
-#include "core/state_watcher.h"
+#include "core/state/state_watcher.h"
 
 #include <utility>
 
--- a/src/core/state_watcher.h
+++ b/src/core/state/state_watcher.h
@@ -1,15 +1,15 @@
 // Keeps the state cache up to date by reading the state service's change log.
-#ifndef PITCHFALL_CORE_STATE_WATCHER_H_
-#define PITCHFALL_CORE_STATE_WATCHER_H_
+#ifndef PITCHFALL_CORE_STATE_STATE_WATCHER_H_
+#define PITCHFALL_CORE_STATE_STATE_WATCHER_H_
 
 #include <functional>
 #include <optional>
 #include <vector>
 
-#include "core/budget.h"
-#include "core/outbox.h"
-#include "core/settings.h"
-#include "core/state_cache.h"
+#include "core/base/token_bucket.h"
+#include "core/model/outbox.h"
+#include "core/model/settings.h"
+#include "core/state/state_cache.h"
 
 namespace pitchfall {
 
--- a/src/io/clock.h
+++ b/src/io/clock.h
@@ -2,7 +2,7 @@
 #ifndef PITCHFALL_IO_CLOCK_H_
 #define PITCHFALL_IO_CLOCK_H_
 
-#include "core/time.h"
+#include "core/base/time.h"
 
 namespace pitchfall::io {
 
--- a/src/io/event.h
+++ b/src/io/event.h
@@ -12,7 +12,7 @@
 
 #include <memory>
 
-#include "core/time.h"
+#include "core/base/time.h"
 
 namespace pitchfall::io {
 
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/time.h"
+#include "core/base/time.h"
 #include "io/event.h"
 #include "wire/codec.h"
 
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/messages.h"
+#include "core/model/messages.h"
 #include "io/event.h"
 
 namespace pitchfall::io {
--- a/src/io/peers.h
+++ b/src/io/peers.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/messages.h"
+#include "core/model/messages.h"
 #include "io/event.h"
 
 namespace pitchfall::io {
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <utility>
 
-#include "core/limits.h"
+#include "core/model/limits.h"
 #include "wire/pack.h"
 #include "wire/records.h"
 
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/messages.h"
+#include "core/model/messages.h"
 
 namespace pitchfall::wire {
 
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/messages.h"
+#include "core/model/messages.h"
 
 namespace pitchfall::wire {
 
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -5,7 +5,7 @@
 #include <map>
 #include <utility>
 
-#include "core/limits.h"
+#include "core/model/limits.h"
 
 namespace pitchfall::wire {
 namespace {
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string_view>
 
-#include "core/records.h"
+#include "core/model/records.h"
 #include "wire/pack.h"
 
 namespace pitchfall::wire {
--- a/tests/answer_bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "core/cancellation_watermark.h"
-#include "core/partition.h"
+#include "core/partition/partition.h"
+#include "core/state/cancellation_watermark.h"
 
 namespace pitchfall {
 namespace {
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -11,8 +11,8 @@
 #include <sstream>
 #include <string>
 
-#include "core/limits.h"
-#include "core/segments.h"
+#include "core/model/limits.h"
+#include "core/state/segments.h"
 #include "wire/pack.h"
 #include "wire/peer.h"
 #include "wire/records.h"
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -7,17 +7,17 @@
 #include <random>
 #include <string>
 
-#include "core/autoscaler.h"
-#include "core/budget.h"
+#include "core/autoscaler/autoscaler.h"
+#include "core/base/rendezvous_hash.h"
+#include "core/base/token_bucket.h"
 #include "core/controller.h"
-#include "core/demand.h"
-#include "core/hash.h"
-#include "core/machine.h"
-#include "core/placement.h"
-#include "core/preemption.h"
-#include "core/segments.h"
-#include "core/state_cache.h"
-#include "core/state_watcher.h"
+#include "core/model/machine.h"
+#include "core/scheduling/demand.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/preemption.h"
+#include "core/state/segments.h"
+#include "core/state/state_cache.h"
+#include "core/state/state_watcher.h"
 
 namespace pitchfall {
 namespace {
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -1,5 +1,5 @@
 // Telling faulty jobs from faulty machines.
-#include "core/failure_tracker.h"
+#include "core/partition/failure_tracker.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/fakes/cloud.h
+++ b/tests/fakes/cloud.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/time.h"
+#include "core/base/time.h"
 #include "fakes/state_service.h"
 
 namespace pitchfall::fakes {
--- a/tests/fakes/state_service.h
+++ b/tests/fakes/state_service.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/time.h"
+#include "core/base/time.h"
 
 namespace pitchfall::fakes {
 
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-#include "core/time.h"
+#include "core/base/time.h"
 #include "fakes/state_service.h"
 
 namespace pitchfall::fakes {
--- a/tests/sim/cluster_simulation.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -6,7 +6,7 @@
 #include <sstream>
 #include <utility>
 
-#include "core/hash.h"
+#include "core/base/rendezvous_hash.h"
 #include "wire/codec.h"
 #include "wire/pack.h"
 #include "wire/records.h"
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -157,7 +157,8 @@
 
 CloudRequest FromOld(const old::GetTypes&) { return GetTypes{}; }
 CloudRequest FromOld(const old::Rent& rent) {
-  return CreateInstances{rent.name, rent.type, rent.zone, rent.spot, rent.count};
+  return CreateInstances{rent.name, rent.type, rent.zone, rent.spot,
+                         rent.count};
 }
 CloudRequest FromOld(const old::DeleteMachines& request) {
   return DeleteMachines{request.machines};
--- a/tests/sim/simulated_controller.h
+++ b/tests/sim/simulated_controller.h
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
-#include "core/messages.h"
-#include "core/settings.h"
-#include "core/time.h"
+#include "core/base/time.h"
+#include "core/model/messages.h"
+#include "core/model/settings.h"
 #include "wire/codec.h"
 
 namespace pitchfall::sim {
--- a/tests/sizing_test.cc
+++ b/tests/sizing_test.cc
@@ -5,9 +5,9 @@
 #include <random>
 #include <vector>
 
-#include "core/sizing/forecast.h"
-#include "core/sizing/target.h"
-#include "core/sizing/tracking.h"
+#include "core/autoscaler/sizing/forecast.h"
+#include "core/autoscaler/sizing/target.h"
+#include "core/autoscaler/sizing/tracking.h"
 
 namespace pitchfall::sizing {
 namespace {
--- a/tests/standing_jobs_test.cc
+++ b/tests/standing_jobs_test.cc
@@ -2,10 +2,10 @@
 // elsewhere whenever they end.
 #include <gtest/gtest.h>
 
-#include "core/demand.h"
-#include "core/displacement.h"
-#include "core/jobs.h"
-#include "core/placement.h"
+#include "core/model/job.h"
+#include "core/scheduling/demand.h"
+#include "core/scheduling/displacement.h"
+#include "core/scheduling/placement.h"
 #include "sim/play.h"
 
 namespace pitchfall {
