--- a/src/core/base/time.h
+++ b/src/core/base/time.h
@@ -40,6 +40,9 @@
   return Duration(static_cast<int64_t>(std::llround(s * 1e6)));
 }
 inline constexpr Duration Millis(int64_t ms) { return Duration(ms * 1000); }
+// The longest time that another process's steady clock may measure as `d`:
+// steady clocks of two machines differ by as much as 0.05% each way.
+inline constexpr Duration WithDrift(Duration d) { return d + d / 1000; }
 inline double ToSeconds(Duration d) {
   return static_cast<double>(d.count()) / 1e6;
 }
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -65,11 +65,11 @@
   // silence: an earlier owner may still answer.
   bool fencing_token_seen = false;
   SteadyTime last_answer{};
-  RequestId waiting = 0;  // the request to answer
+  RequestId pending_request = 0;  // the heartbeat to answer; 0: none
   // Until its next heartbeat, as far as can be expected: starts travel in
   // answers.
   Duration until_heartbeat{0};
-  SteadyTime waiting_since{};
+  SteadyTime pending_since{};
 
   // Since when it has shown no sign of hearing answers, although it should
   // have: no fencing token, starts that are not carried out, agent epochs that
@@ -81,9 +81,9 @@
   bool epoch_ended_while_answered = false;
   // Heard for the first time or after a silence: that may be a copy of a
   // heartbeat that was held back on the way. The next heartbeat tells.
-  bool back = true;
+  bool awaits_second_heartbeat = true;
 
-  bool drain = false;        // chosen to go: gets no new tasks
+  bool cordoned = false;     // chosen to be returned: gets no new tasks
   bool quarantined = false;  // fails what it starts: the same
   bool deleting = false;     // deletion asked for; it may come any time now
   bool gone = false;         // proven
@@ -109,9 +109,9 @@
 
   Resources Free() const { return capacity - used - unbound_use - planned; }
   bool TakesTasks(SteadyTime now) const {
-    return heartbeat && fencing_token_seen && !drain && !quarantined &&
+    return heartbeat && fencing_token_seen && !cordoned && !quarantined &&
            !deleting && !gone && !preemption_at && !inbound_suspect_since &&
-           !back && now >= paused_until;
+           !awaits_second_heartbeat && now >= paused_until;
   }
 };
 
--- /dev/null
+++ b/src/core/partition/fault_attribution.cc
@@ -0,0 +1,58 @@
+#include "core/partition/fault_attribution.h"
+
+namespace pitchfall {
+namespace {
+
+// A replica that has run for so long was started successfully.
+constexpr Duration kProvenRun = Millis(15000);
+
+}  // namespace
+
+void FaultAttribution::RecordSuccess(const std::string& machine,
+                                     const std::string& job) {
+  for (const std::string& at_fault : tracker_.RecordSuccess(machine, job)) {
+    Quarantine(at_fault);
+  }
+}
+
+void FaultAttribution::RecordFailure(const std::string& machine,
+                                     const std::string& job) {
+  const Job* known = state_cache_.FindJob(job);
+  bool job_succeeds =
+      known != nullptr && (known->done > 0 || proven_services_.contains(job));
+  FailureTracker::Failure failure =
+      tracker_.RecordFailure(machine, job, job_succeeds, out_.now().steady);
+  if (failure.job_at_fault) {
+    out_.Log(LogLevel::kInfo,
+             "event=job_failing job={} machines={} retry_in={:.0f}", job,
+             failure.machines, ToSeconds(failure.retry_in));
+  }
+  if (failure.machine_at_fault) Quarantine(machine);
+}
+
+void FaultAttribution::RecordReplicaEnd(const std::string& machine,
+                                        const std::string& job) {
+  tracker_.RecordReplicaEnd(machine, job, out_.now().steady);
+}
+
+void FaultAttribution::RecordReplicaRuns(const Machine& machine,
+                                         BoundAttempt& attempt) {
+  const JobSpec& spec = attempt.job->spec();
+  bool runs = spec.shape == Shape::kService && attempt.running_since;
+  if (!runs || attempt.proven) return;
+  if (machine.heard - *attempt.running_since < kProvenRun) return;
+  attempt.proven = true;
+  proven_services_.insert(spec.id);
+  RecordSuccess(machine.name, spec.id);
+}
+
+// A faulty machine fails whatever it starts: it is emptied and returned.
+void FaultAttribution::Quarantine(const std::string& name) {
+  Machine* machine = machines_.Find(name);
+  if (machine == nullptr || machine->quarantined) return;
+  machine->quarantined = true;
+  out_.Log(LogLevel::kWarning, "event=quarantine machine={} errors={} jobs={}",
+           name, tracker_.ErrorsOn(name), tracker_.FailedJobsOn(name));
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/partition/heartbeat_handler.cc
@@ -0,0 +1,201 @@
+#include "core/partition/heartbeat_handler.h"
+
+namespace pitchfall {
+namespace {
+
+// Beyond this, plus three heartbeat intervals, a machine counts as silent.
+constexpr Duration kSilenceMargin = Millis(1000);
+// So many answers in one agent epoch, and the worker would have taken one.
+constexpr int kAnswersBeforeDoubt = 3;
+
+// A worker that receives answers shows the fencing token and carries starts
+// out.
+bool IgnoresAnswers(const Machine& machine, const WorkerHeartbeat& heartbeat) {
+  bool answered = machine.last_answer != SteadyTime{};
+  if (answered && !machine.fencing_token_seen) return true;
+  for (const auto& [key, attempt] : machine.bound) {
+    if (!attempt.start_sent || attempt.reported) continue;
+    const auto& [epoch, sequence] = *attempt.start_sent;
+    if (epoch == heartbeat.agent_epoch && sequence < heartbeat.seq) return true;
+  }
+  return false;
+}
+
+}  // namespace
+
+bool HeartbeatHandler::Handle(RequestId request,
+                              const WorkerHeartbeat& heartbeat) {
+  if (entitlement_.OnFencingToken(heartbeat.fencing_token)) {
+    context_.state_watcher.RequestRead();
+  }
+  if (!entitlement_.successor().empty()) {
+    context_.out.Answer(request, 421, Redirect{entitlement_.successor()});
+    return false;
+  }
+  if (!entitlement_.MayAnswer()) {
+    context_.out.Answer(request, 503, Problem{"not entitled to answer"});
+    return false;
+  }
+  if (IsStale(heartbeat)) {
+    context_.out.Answer(request, 503, Problem{"late report"});
+    return false;
+  }
+  Accept(request, heartbeat);
+  return true;
+}
+
+// The network may hold a heartbeat back and deliver it, or a copy of it,
+// minutes later. Accepting it would revive a machine whose lease has run out,
+// or show tasks that have ended since (OldHeartbeatsArriveAfterNewerOnes...).
+bool HeartbeatHandler::IsStale(const WorkerHeartbeat& heartbeat) const {
+  if (machines_.WasDeleted(heartbeat.machine)) return true;
+  const Machine* machine = machines_.Find(heartbeat.machine);
+  if (machine == nullptr || !machine->heartbeat) return false;
+  const WorkerHeartbeat& newest = *machine->heartbeat;
+  // Its lease has run out: the worker's next heartbeat is of a later agent
+  // epoch.
+  bool same_epoch = heartbeat.agent_epoch <= newest.agent_epoch;
+  if (machine->gone && same_epoch) return true;
+  return std::pair(heartbeat.agent_epoch, heartbeat.seq) <=
+         std::pair(newest.agent_epoch, newest.seq);
+}
+
+void HeartbeatHandler::Accept(RequestId request,
+                              const WorkerHeartbeat& heartbeat) {
+  SteadyTime now = context_.now();
+  Machine& machine = machines_.GetOrAdd(heartbeat.machine);
+  responder_.Refuse(machine);
+  if (!machine.heartbeat) {
+    context_.out.Log(LogLevel::kInfo,
+                     "event=worker_joined partition={} machine={} spot={} "
+                     "zone={} agent_epoch={}",
+                     term_.partition, heartbeat.machine, heartbeat.spot,
+                     heartbeat.zone, heartbeat.agent_epoch);
+  }
+  Duration silence =
+      3 * context_.deployment.heartbeat_interval + kSilenceMargin;
+  machine.awaits_second_heartbeat =
+      !machine.heartbeat || now - machine.heard > silence;
+  std::optional<WorkerHeartbeat> before = std::move(machine.heartbeat);
+  machine.heartbeat = heartbeat;
+  machine.heard = now;
+  last_heard_ = now;
+  machine.gone = false;
+  machine.pending_request = request;
+  machine.pending_since = now;
+  bool shows_token = heartbeat.fencing_token == term_.fencing_token;
+  if (shows_token && !machine.fencing_token_seen) {
+    machine.fencing_token_seen = true;
+    machine.last_answer = now;
+  }
+  UpdateMachine(machine);
+  UpdateInboundReachability(machine, before);
+}
+
+void HeartbeatHandler::UpdateMachine(Machine& machine) {
+  const WorkerHeartbeat& heartbeat = *machine.heartbeat;
+  machine.address = heartbeat.address;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
+  if (const MachineType* type = context_.state_cache.FindType(heartbeat.type)) {
+    machine.capacity = type->capacity;
+  }
+  NotePreemptionNotice(machine);
+  machine.unbound_use = {};
+  for (const ReportedTask& task : heartbeat.tasks) {
+    if (task.state == TaskState::kExited) continue;
+    auto bound = machine.bound.find({task.job, task.task});
+    if (bound != machine.bound.end() && bound->second.attempt == task.attempt) {
+      UpdateAttempt(machine, task, *bound);
+      continue;
+    }
+    const Job* job = context_.state_cache.FindJob(task.job);
+    if (job != nullptr) machine.unbound_use += job->spec().resources;
+  }
+  bool busy = !machine.bound.empty() || !heartbeat.tasks.empty();
+  if (busy) {
+    machine.idle_since.reset();
+  } else if (!machine.idle_since) {
+    machine.idle_since = machine.heard;
+  }
+}
+
+void HeartbeatHandler::NotePreemptionNotice(Machine& machine) {
+  const std::optional<Duration>& notice = machine.heartbeat->preemption_notice;
+  if (!notice || machine.preemption_at) return;
+  machine.preemption_at = machine.heard + *notice;
+  context_.out.Log(LogLevel::kInfo,
+                   "event=preemption_notice machine={} seconds={:.1f} tasks={}",
+                   machine.name, ToSeconds(*notice), machine.bound.size());
+}
+
+void HeartbeatHandler::UpdateAttempt(
+    Machine& machine, const ReportedTask& task,
+    std::pair<const TaskKey, BoundAttempt>& entry) {
+  BoundAttempt& attempt = entry.second;
+  attempt.reported = true;
+  attempt.state = task.state;
+  if (task.state == TaskState::kRunning && !attempt.running_since) {
+    attempt.running_since = machine.heard;
+    LogReplicaUp(machine, entry);
+  }
+  faults_.RecordReplicaRuns(machine, attempt);
+  if (task.state != TaskState::kFetching) {
+    machine.images.insert(attempt.job->spec().image);
+  }
+}
+
+void HeartbeatHandler::LogReplicaUp(
+    const Machine& machine,
+    const std::pair<const TaskKey, BoundAttempt>& entry) const {
+  const auto& [key, attempt] = entry;
+  const JobSpec& spec = attempt.job->spec();
+  bool service = spec.shape == Shape::kService;
+  if (!service || attempt.bound_by_previous_owner) return;
+  Duration age = context_.out.now().wall - attempt.job->record.submitted;
+  context_.out.Log(LogLevel::kInfo,
+                   "event=replica_up job={} task={} machine={} cached={} "
+                   "job_age={:.1f}",
+                   spec.id, key.second, machine.name,
+                   machine.images.contains(spec.image), ToSeconds(age));
+}
+
+// A machine may send heartbeats and receive no answer. That does not show in
+// any one heartbeat, since answers get lost; but one that receives them takes
+// the fencing token, carries starts out, and stays in its agent epoch as long
+// as it is answered (InboundCutMachine.IsDeletedAndItsWorkMoves).
+void HeartbeatHandler::UpdateInboundReachability(
+    Machine& machine, const std::optional<WorkerHeartbeat>& before) {
+  SteadyTime now = context_.now();
+  const WorkerHeartbeat& heartbeat = *machine.heartbeat;
+  if (!before || before->agent_epoch != heartbeat.agent_epoch) {
+    NoteNewAgentEpoch(machine);
+  }
+  Duration stable_after = WithDrift(context_.deployment.worker_lease) +
+                          2 * context_.deployment.heartbeat_interval;
+  bool stable = now - machine.agent_epoch_since > stable_after;
+  if (IgnoresAnswers(machine, heartbeat)) {
+    if (!machine.inbound_suspect_since) machine.inbound_suspect_since = now;
+  } else if (stable || !machine.epoch_ended_while_answered) {
+    machine.inbound_suspect_since.reset();
+    machine.epoch_ended_while_answered = false;
+  }
+}
+
+// An agent begins a new epoch when its lease has run out. One that had been
+// answered in time should still be in the old one.
+void HeartbeatHandler::NoteNewAgentEpoch(Machine& machine) {
+  SteadyTime now = context_.now();
+  Duration lease = WithDrift(context_.deployment.worker_lease);
+  bool answered_in_time = machine.answers >= kAnswersBeforeDoubt &&
+                          now - machine.last_answer < lease;
+  if (answered_in_time) {
+    machine.epoch_ended_while_answered = true;
+    if (!machine.inbound_suspect_since) machine.inbound_suspect_since = now;
+  }
+  machine.agent_epoch_since = now;
+  machine.answers = 0;
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/partition/machine_health.cc
@@ -0,0 +1,155 @@
+#include "core/partition/machine_health.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace pitchfall {
+namespace {
+
+// Added to a worker's lease before it counts as expired.
+constexpr Duration kLeaseMargin = Millis(500);
+constexpr Duration kDeleteInterval = Millis(500);
+constexpr Duration kAfterDeletion = Millis(300);
+constexpr Duration kAfterFailedDeletion = Millis(2000);
+// Beyond three heartbeat intervals.
+constexpr Duration kSilenceMargin = Millis(2000);
+// Names in one call to the cloud.
+constexpr size_t kMaxDeletedAtOnce = 100;
+// Of all machines, at most one in so many is believed to receive no answers.
+constexpr size_t kUnreachableShare = 4;
+
+}  // namespace
+
+void MachineHealth::UpdateCordon(Machine& machine) {
+  bool cordoned = context_.state_cache.Draining(machine.name);
+  if (cordoned == machine.cordoned) return;
+  machine.cordoned = cordoned;
+  reschedule_.Raise();
+  context_.out.Log(LogLevel::kInfo, "event={} machine={} tasks={}",
+                   cordoned ? "cordon" : "uncordon", machine.name,
+                   machine.bound.size());
+}
+
+void MachineHealth::UpdateLease(Machine& machine) {
+  if (machine.gone) return;
+  SteadyTime now = context_.now();
+  Duration lease = WithDrift(context_.deployment.worker_lease) + kLeaseMargin;
+  bool answered = machine.last_answer != SteadyTime{};
+  bool lease_expired = answered && machine.pending_request == 0 &&
+                       now - machine.last_answer > lease;
+  // What an earlier owner last answered on (AnswerEntitlement) it knew before
+  // this ownership began, or it would have known of that. The leases that it
+  // renewed have expired by now, whether or not their workers can be asked.
+  bool former_leases_expired =
+      now - term_.since > WithDrift(context_.deployment.cancel);
+  bool never_heard = !machine.heartbeat && !machine.bound.empty();
+  bool lost = machine.fencing_token_seen
+                  ? lease_expired
+                  : former_leases_expired && (never_heard || lease_expired);
+  if (!lost) return;
+  machine.gone = true;
+  reschedule_.Raise();
+  context_.out.Log(
+      LogLevel::kWarning, "event=worker_lost machine={} proof={} tasks={}",
+      machine.name, machine.fencing_token_seen ? "lease" : "former_owner",
+      machine.bound.size());
+}
+
+Duration MachineHealth::SilenceOf(const Machine& machine) const {
+  return context_.now() - std::max(machine.heard, term_.since);
+}
+
+bool MachineHealth::InboundUnreachable(const Machine& machine) const {
+  if (!machine.inbound_suspect_since) return false;
+  Duration limit = WithDrift(context_.deployment.worker_lease) +
+                   4 * context_.deployment.heartbeat_interval;
+  return context_.now() - *machine.inbound_suspect_since > limit;
+}
+
+// If most have fallen silent at once it is more likely the network; if many
+// receive no answers, it is more likely this controller that answers too late.
+MachineHealth::Survey MachineHealth::SurveyMachines() const {
+  Duration recent = 2 * context_.deployment.heartbeat_interval;
+  size_t heard = 0;
+  size_t silent = 0;
+  size_t unreachable = 0;
+  for (const auto& [name, machine] : machines_.machines()) {
+    (SilenceOf(machine) < recent ? heard : silent) += 1;
+    if (InboundUnreachable(machine)) ++unreachable;
+  }
+  size_t believable =
+      std::max<size_t>(1, machines_.machines().size() / kUnreachableShare);
+  return {heard >= silent, unreachable <= believable};
+}
+
+const char* MachineHealth::ReasonToDelete(const Machine& machine,
+                                          const Survey& survey) const {
+  Duration lease = context_.deployment.worker_lease;
+  Duration silence = SilenceOf(machine);
+  Duration limit =
+      machine.heartbeat
+          ? 3 * context_.deployment.heartbeat_interval + kSilenceMargin
+          : lease;
+  bool silent = survey.silence_believable && silence > limit;
+  if (silent || silence > 3 * lease) return "silent";
+  if (survey.unreachability_believable && InboundUnreachable(machine)) {
+    return "inbound_unreachable";
+  }
+  bool to_return = machine.cordoned || machine.quarantined;
+  bool empty = machine.heartbeat && machine.bound.empty() &&
+               machine.pending_request == 0 && machine.heartbeat->tasks.empty();
+  return to_return && empty ? "drained" : nullptr;
+}
+
+std::vector<std::string> MachineHealth::ChooseMachinesToDelete() {
+  const Survey survey = SurveyMachines();
+  std::vector<std::string> names;
+  for (auto& [name, machine] : machines_.machines()) {
+    if (names.size() >= kMaxDeletedAtOnce) break;
+    const char* reason = ReasonToDelete(machine, survey);
+    // Once asked for, a deletion may come any time: it is asked for again.
+    if (reason == nullptr && !machine.deleting) continue;
+    if (!machine.deleting) {
+      context_.out.Log(LogLevel::kInfo,
+                       "event=delete machine={} reason={} tasks={}", name,
+                       reason, machine.bound.size());
+    }
+    machine.deleting = true;
+    names.push_back(name);
+  }
+  return names;
+}
+
+void MachineHealth::DeleteMachines() {
+  SteadyTime now = context_.now();
+  if (call_pending_ || now < next_call_) return;
+  if (machines_.machines().empty()) return;
+  next_call_ = now + kDeleteInterval;
+  std::vector<std::string> names = ChooseMachinesToDelete();
+  if (names.empty() || !context_.cloud.Take(now, 1)) return;
+  call_pending_ = true;
+  context_.out.CallCloud(pitchfall::DeleteMachines{names},
+                         context_.tuning.cloud_timeout,
+                         lifetime_.Wrap([this, names](const CloudReply& reply) {
+                           OnDeleteReply(names, reply);
+                         }));
+}
+
+void MachineHealth::OnDeleteReply(const std::vector<std::string>& names,
+                                  const CloudReply& reply) {
+  call_pending_ = false;
+  bool deleted = reply.status == 200;
+  next_call_ =
+      context_.now() + (deleted ? kAfterDeletion : kAfterFailedDeletion);
+  if (!deleted) return;
+  for (const std::string& name : names) {
+    machines_.MarkDeleted(name);
+    Machine* machine = machines_.Find(name);
+    if (machine == nullptr) continue;
+    responder_.Refuse(*machine);
+    machine->gone = true;
+  }
+  reschedule_.Raise();
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/partition/machine_registry.h
@@ -0,0 +1,78 @@
+// The machines of one partition, by name.
+#ifndef PITCHFALL_CORE_PARTITION_MACHINE_REGISTRY_H_
+#define PITCHFALL_CORE_PARTITION_MACHINE_REGISTRY_H_
+
+#include <map>
+#include <set>
+#include <string>
+
+#include "core/model/free_capacity.h"
+#include "core/model/machine.h"
+
+namespace pitchfall {
+
+// Holds every machine that has sent a heartbeat to this owner or to which
+// stored records bind tasks. References to machines stay valid until `Erase`.
+class MachineRegistry {
+ public:
+  using Machines = std::map<std::string, Machine>;
+
+  // The machine of that name, added if it is not known yet.
+  Machine& GetOrAdd(const std::string& name) {
+    Machine& machine = machines_[name];
+    machine.name = name;
+    return machine;
+  }
+  // Null if the machine is not known.
+  Machine* Find(const std::string& name) {
+    auto found = machines_.find(name);
+    return found == machines_.end() ? nullptr : &found->second;
+  }
+  const Machine* Find(const std::string& name) const {
+    auto found = machines_.find(name);
+    return found == machines_.end() ? nullptr : &found->second;
+  }
+  // Returns the position after the erased one.
+  Machines::iterator Erase(Machines::iterator position) {
+    return machines_.erase(position);
+  }
+
+  // In the order of their names.
+  Machines& machines() { return machines_; }
+  const Machines& machines() const { return machines_; }
+
+  // The cloud has confirmed the machine's deletion. Names are never used again,
+  // so this is remembered for good.
+  void MarkDeleted(const std::string& name) { deleted_.insert(name); }
+  bool WasDeleted(const std::string& name) const {
+    return deleted_.contains(name);
+  }
+
+  // Drops what the transaction being built would have used.
+  void ForgetPlanned() {
+    for (auto& [name, machine] : machines_) {
+      machine.planned = {};
+      machine.planned_images.clear();
+      machine.planned_services.clear();
+    }
+  }
+
+  // What machines that take tasks have left for more.
+  FreeCapacity Free(SteadyTime now) const {
+    FreeCapacity free;
+    for (const auto& [name, machine] : machines_) {
+      if (machine.TakesTasks(now)) {
+        free.AddMachine(machine.Free().cpus, machine.spot);
+      }
+    }
+    return free;
+  }
+
+ private:
+  Machines machines_;
+  std::set<std::string> deleted_;
+};
+
+}  // namespace pitchfall
+
+#endif  // PITCHFALL_CORE_PARTITION_MACHINE_REGISTRY_H_
--- /dev/null
+++ b/src/core/partition/record_sizes.cc
@@ -0,0 +1,36 @@
+#include "core/partition/record_sizes.h"
+
+#include "core/model/job.h"
+#include "core/state/segments.h"
+
+namespace pitchfall {
+namespace {
+
+// Of one more task on a machine of its own, in a chunk's record.
+constexpr size_t kMaxAssignmentBytes = 100;
+// So many ranges of completed tasks surely fit into kSmallRecordBytes.
+constexpr size_t kFewRanges = 16;
+
+}  // namespace
+
+bool RecordSizes::FitsValue(const JobRecord& record) const {
+  return RecordBytes(record) <= limits_.ValueBytes();
+}
+
+bool RecordSizes::FitsSegment(const std::string& job, uint32_t chunk,
+                              const ChunkRecord& record) const {
+  return SegmentFiller(limits_.UsableValueBytes()).Add({job, chunk, record});
+}
+
+bool RecordSizes::FitsSegmentWithOneMore(const std::string& job, uint32_t chunk,
+                                         const ChunkRecord& record) const {
+  size_t max_bytes = limits_.UsableValueBytes();
+  // The exact bound is dear to compute; most records are far below it.
+  size_t estimate =
+      record.assigned.size() * kMaxAssignmentBytes + kSmallRecordBytes;
+  bool few_ranges = record.done.iterative_size() <= kFewRanges;
+  if (few_ranges && estimate < max_bytes) return true;
+  return MaxEntryBytes({job, chunk, record}) + kMaxAssignmentBytes <= max_bytes;
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/partition/transaction_builder.h
@@ -0,0 +1,52 @@
+// Turns pending changes into one transaction that the state service takes.
+#ifndef PITCHFALL_CORE_PARTITION_TRANSACTION_BUILDER_H_
+#define PITCHFALL_CORE_PARTITION_TRANSACTION_BUILDER_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+
+#include "core/partition/ownership_term.h"
+#include "core/partition/pending_transaction.h"
+#include "core/state/context.h"
+
+namespace pitchfall {
+
+// A transaction is a compare-and-swap on many keys: it is carried out only if
+// the partition still has this owner, no write of unknown outcome can come
+// later (the write fence), and none of the records that it builds on has
+// changed.
+class TransactionBuilder {
+ public:
+  TransactionBuilder(const Context& context, const OwnershipTerm& term)
+      : context_(context), term_(term) {}
+
+  // Returns none if the partition's segments have no capacity for so many
+  // chunks at once, or the transaction would be too large. `write_fence`: the
+  // modification revision of this term's write fence, 0 before its first write.
+  std::optional<Transaction> Build(const PendingTransaction& pending,
+                                   uint64_t write_fence) const;
+
+ private:
+  // A transaction and the bytes of its values but for the segments.
+  struct Draft {
+    Transaction transaction;
+    size_t bytes = 0;
+
+    void Require(std::string key, uint64_t mod_revision);
+    void Put(std::string key, Record record, size_t record_bytes);
+  };
+  void AddJobs(Draft& draft, const PendingTransaction& pending) const;
+  void AddLoad(Draft& draft, const LoadRecord& load) const;
+  void AddTeams(Draft& draft, const PendingTransaction& pending) const;
+  // False if they do not fit.
+  bool AddSegments(Draft& draft, const PendingTransaction& pending) const;
+
+  const Context& context_;
+  const OwnershipTerm& term_;
+};
+
+}  // namespace pitchfall
+
+#endif  // PITCHFALL_CORE_PARTITION_TRANSACTION_BUILDER_H_
--- /dev/null
+++ b/src/core/partition/worker_responder.cc
@@ -0,0 +1,100 @@
+#include "core/partition/worker_responder.h"
+
+#include <utility>
+
+namespace pitchfall {
+namespace {
+
+constexpr Duration kCommandTimeout = Millis(2000);
+// After a direct stop that failed.
+constexpr Duration kStopRetryInterval = Millis(1000);
+
+}  // namespace
+
+bool IsWanted(const Context& context, const BoundAttempt& attempt) {
+  return !attempt.job->record.final() &&
+         !context.cancelled_by_peers.contains(attempt.job->spec().id);
+}
+
+CommandPolicy WorkerResponder::PolicyFor(const Machine& machine) const {
+  CommandPolicy policy;
+  policy.fencing_token = term_.fencing_token;
+  policy.now = context_.now();
+  policy.may_start = context_.state_watcher.Fresh() &&
+                     machine.fencing_token_seen &&
+                     machine.TakesTasks(context_.now());
+  policy.wanted = [this](const BoundAttempt& attempt) {
+    return IsWanted(context_, attempt);
+  };
+  return policy;
+}
+
+void WorkerResponder::AnswerHeartbeats(SteadyTime accepted_until) {
+  for (auto& [name, machine] : machines_.machines()) {
+    if (machine.pending_request == 0) continue;
+    if (machine.pending_since <= accepted_until) Answer(machine);
+  }
+}
+
+void WorkerResponder::Answer(Machine& machine) {
+  if (!entitlement_.MayAnswer()) {
+    Refuse(machine);
+    return;
+  }
+  WorkerCommands commands{term_.fencing_token,
+                          BuildCommands(machine, PolicyFor(machine))};
+  context_.out.Answer(machine.pending_request, 200, std::move(commands));
+  machine.pending_request = 0;
+  machine.last_answer = context_.now();
+  machine.answers += 1;
+}
+
+void WorkerResponder::Refuse(Machine& machine) {
+  if (machine.pending_request == 0) return;
+  context_.out.Answer(machine.pending_request, 503,
+                      Problem{"not entitled to answer"});
+  machine.pending_request = 0;
+}
+
+void WorkerResponder::SendDirectStops() {
+  for (auto& [name, machine] : machines_.machines()) {
+    bool reachable =
+        machine.fencing_token_seen && !machine.gone && !machine.address.empty();
+    if (!reachable || machine.pending_request != 0) continue;
+    if (context_.now() < machine.next_stop) continue;
+    std::vector<WorkerCommand> stops =
+        BuildDirectStops(machine, PolicyFor(machine));
+    if (stops.empty()) continue;
+    CommandWorker request{term_.fencing_token, machine.heartbeat->agent_epoch,
+                          stops};
+    context_.out.CallWorker(
+        machine.address, std::move(request), kCommandTimeout,
+        lifetime_.Wrap([this, name = name,
+                        stops = std::move(stops)](const WorkerReply& reply) {
+          OnStopReply(name, stops, reply);
+        }));
+  }
+}
+
+// The worker reports what has changed, and answers to heartbeats repeat stops.
+// But one that reaches no controller reports nothing, and a stop that was lost
+// on its way has to be sent again
+// (DirectStops.AreRepeatedUntilOneIsCarriedOut).
+void WorkerResponder::OnStopReply(const std::string& name,
+                                  const std::vector<WorkerCommand>& stops,
+                                  const WorkerReply& reply) {
+  if (reply.heartbeat) {
+    entitlement_.OnFencingToken(reply.heartbeat->fencing_token);
+  }
+  if (reply.status == 200) return;
+  Machine* machine = machines_.Find(name);
+  if (machine == nullptr) return;
+  machine->next_stop = context_.now() + kStopRetryInterval;
+  for (const WorkerCommand& stop : stops) {
+    auto bound = machine->bound.find({stop.job, stop.task});
+    if (bound == machine->bound.end()) continue;
+    if (bound->second.attempt == stop.attempt) bound->second.stop_sent = false;
+  }
+}
+
+}  // namespace pitchfall
