--- /dev/null
+++ b/tests/partition_units_test.cc
@@ -0,0 +1,625 @@
+// The collaborators of a partition, each by itself.
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "core/partition/answer_entitlement.h"
+#include "core/partition/attempt_bindings.h"
+#include "core/partition/attempt_reconciler.h"
+#include "core/partition/chunk_transfer.h"
+#include "core/partition/committer.h"
+#include "core/partition/fault_attribution.h"
+#include "core/partition/heartbeat_handler.h"
+#include "core/partition/load_reporter.h"
+#include "core/partition/machine_drainer.h"
+#include "core/partition/machine_health.h"
+#include "core/partition/machine_registry.h"
+#include "core/partition/pending_transaction.h"
+#include "core/partition/record_sizes.h"
+#include "core/partition/task_starter.h"
+#include "core/partition/transaction_builder.h"
+#include "core/partition/worker_responder.h"
+#include "core_environment.h"
+
+namespace pitchfall {
+namespace {
+
+constexpr uint64_t kFencingToken = 7;
+constexpr char kJob[] = "run-000001";
+
+Deployment SmallDeployment() {
+  Deployment deployment;
+  deployment.label = "node-0";
+  deployment.worker_lease = Seconds(10);
+  deployment.cancel = Seconds(30);
+  deployment.heartbeat_interval = Seconds(2);
+  deployment.zones = {"a", "b"};
+  Team team;
+  team.name = "red";
+  deployment.teams["red"] = team;
+  return deployment;
+}
+
+JobSpec SmallJob(uint32_t tasks = 4) {
+  JobSpec spec;
+  spec.id = kJob;
+  spec.job_class = "batch";
+  spec.team = "red";
+  spec.tasks = tasks;
+  spec.resources = Resources::FromDecimals(1, 0, 1);
+  spec.image = "image-1";
+  spec.estimate = Seconds(100);
+  return spec;
+}
+
+// A partition's collaborators share these; each test constructs the one that it
+// is about.
+class PartitionUnit : public ::testing::Test {
+ protected:
+  explicit PartitionUnit(uint32_t partitions = 1)
+      : environment_(SmallDeployment(), partitions),
+        quota_(context(), 0),
+        entitlement_(context(), term_),
+        responder_(context(), term_, entitlement_, machines_),
+        faults_(environment_.out, environment_.state_cache, machines_) {
+    environment_.Read();  // the list
+    environment_.Read();  // what came since
+    term_.since = context().now();
+  }
+
+  Context& context() { return environment_.context; }
+
+  void StoreJob(const JobSpec& spec, uint64_t revision = 101) {
+    JobRecord record;
+    record.spec = spec;
+    record.chunk_size = 4;
+    environment_.state_cache.Apply({keys::Job(spec.id), record, revision});
+  }
+  void StoreChunk(std::vector<Assignment> assigned, uint64_t revision = 102) {
+    ChunkRecord record;
+    record.assigned = std::move(assigned);
+    record.next_attempt = 2;
+    environment_.state_cache.Apply(
+        {keys::Segment(0, 0), SegmentRecord{{{kJob, 0, record}}}, revision});
+  }
+  const Job& StoredJob() { return *environment_.state_cache.FindJob(kJob); }
+
+  // A machine of four processors that takes tasks.
+  Machine& AddMachine(const std::string& name, const std::string& zone = "a") {
+    Machine& machine = machines_.GetOrAdd(name);
+    machine.heartbeat = WorkerHeartbeat{};
+    machine.heartbeat->machine = name;
+    machine.heartbeat->agent_epoch = 1;
+    machine.heartbeat->seq = 5;
+    machine.heartbeat->fencing_token = kFencingToken;
+    machine.address = name + ":1";
+    machine.zone = zone;
+    machine.capacity = Resources::FromDecimals(4, 0, 16);
+    machine.fencing_token_seen = true;
+    machine.awaits_second_heartbeat = false;
+    machine.heard = machine.last_answer = context().now();
+    return machine;
+  }
+  BoundAttempt& Bind(Machine& machine, uint32_t task = 0) {
+    BoundAttempt& attempt = machine.bound[{kJob, task}];
+    attempt.job = &StoredJob();
+    attempt.attempt = 1;
+    return attempt;
+  }
+  WorkerHeartbeat HeartbeatOf(const std::string& name, uint64_t epoch,
+                              uint64_t sequence) {
+    WorkerHeartbeat heartbeat;
+    heartbeat.machine = name;
+    heartbeat.address = name + ":1";
+    heartbeat.zone = "a";
+    heartbeat.agent_epoch = epoch;
+    heartbeat.seq = sequence;
+    heartbeat.fencing_token = kFencingToken;
+    return heartbeat;
+  }
+  // The status of the only reply among the effects; 0 if there is none.
+  int ReplyStatus() {
+    int status = 0;
+    for (const Effect& effect : environment_.out.TakeEffects()) {
+      const auto* reply = std::get_if<Reply>(&effect);
+      if (reply == nullptr) continue;
+      EXPECT_EQ(status, 0) << "more than one reply";
+      status = reply->status;
+    }
+    return status;
+  }
+
+  OwnershipTerm term_{0, kFencingToken, {}};
+  CoreEnvironment environment_;
+  MachineRegistry machines_;
+  TeamQuota quota_;
+  AnswerEntitlement entitlement_;
+  WorkerResponder responder_;
+  FaultAttribution faults_;
+  RescheduleSignal reschedule_;
+};
+
+class TwoPartitionsUnit : public PartitionUnit {
+ protected:
+  TwoPartitionsUnit() : PartitionUnit(2) {}
+};
+
+TEST_F(PartitionUnit, EntitlementEndsAtALaterTokenAndNamesThePeerThatClaims) {
+  EXPECT_TRUE(entitlement_.MayAnswer());
+  entitlement_.OnPeerClaim("node-1", kFencingToken);
+  EXPECT_TRUE(entitlement_.MayAnswer()) << "the same token is no later one";
+  EXPECT_FALSE(entitlement_.OnFencingToken(kFencingToken));
+  entitlement_.OnPeerClaim("node-1", kFencingToken + 1);
+  EXPECT_FALSE(entitlement_.MayAnswer());
+  EXPECT_EQ(entitlement_.successor(), "node-1");
+}
+
+TEST_F(PartitionUnit, BindingsFollowTheStoredChunks) {
+  StoreJob(SmallJob());
+  StoreChunk({{0, 1, "m-1", "a"}});
+  AttemptBindings bindings(environment_.state_cache, 0, machines_, quota_,
+                           reschedule_);
+  const Machine* machine = machines_.Find("m-1");
+  ASSERT_NE(machine, nullptr);
+  ASSERT_EQ(machine->bound.size(), 1u);
+  EXPECT_TRUE(machine->bound.begin()->second.bound_by_previous_owner);
+  EXPECT_EQ(machine->used, SmallJob().resources);
+  reschedule_.Clear();
+  StoreChunk({{1, 1, "m-2", "a"}}, 103);
+  EXPECT_TRUE(reschedule_.raised());
+  EXPECT_TRUE(machine->bound.empty());
+  EXPECT_EQ(machine->used, Resources{});
+  EXPECT_FALSE(
+      machines_.Find("m-2")->bound.begin()->second.bound_by_previous_owner);
+}
+
+TEST_F(PartitionUnit, BindingsEndWithTheirObject) {
+  StoreJob(SmallJob());
+  {
+    AttemptBindings bindings(environment_.state_cache, 0, machines_, quota_,
+                             reschedule_);
+  }
+  StoreChunk({{0, 1, "m-1", "a"}});
+  EXPECT_EQ(machines_.Find("m-1"), nullptr);
+}
+
+TEST_F(PartitionUnit, HeartbeatsThatAreNotNewerAreRefused) {
+  HeartbeatHandler handler(context(), term_, machines_, entitlement_,
+                           responder_, faults_);
+  EXPECT_TRUE(handler.Handle(1, HeartbeatOf("m-1", 2, 5)));
+  responder_.AnswerHeartbeats(context().now());
+  EXPECT_EQ(ReplyStatus(), 200);
+  EXPECT_FALSE(handler.Handle(2, HeartbeatOf("m-1", 2, 5)));
+  EXPECT_EQ(ReplyStatus(), 503);
+  EXPECT_FALSE(handler.Handle(3, HeartbeatOf("m-1", 1, 9)));
+  EXPECT_EQ(ReplyStatus(), 503);
+  EXPECT_TRUE(handler.Handle(4, HeartbeatOf("m-1", 2, 6)));
+  EXPECT_EQ(machines_.Find("m-1")->pending_request, 4u);
+}
+
+TEST_F(PartitionUnit, ADeletedMachineIsNotHeardAgain) {
+  HeartbeatHandler handler(context(), term_, machines_, entitlement_,
+                           responder_, faults_);
+  machines_.MarkDeleted("m-1");
+  EXPECT_FALSE(handler.Handle(1, HeartbeatOf("m-1", 9, 1)));
+  EXPECT_EQ(ReplyStatus(), 503);
+}
+
+TEST_F(PartitionUnit, AWorkerOfALaterOwnerIsSentToIt) {
+  HeartbeatHandler handler(context(), term_, machines_, entitlement_,
+                           responder_, faults_);
+  entitlement_.OnPeerClaim("node-1", kFencingToken + 1);
+  environment_.out.TakeEffects();
+  EXPECT_FALSE(handler.Handle(1, HeartbeatOf("m-1", 1, 1)));
+  EXPECT_EQ(ReplyStatus(), 421);
+}
+
+TEST_F(PartitionUnit, AMachineTakesTasksFromItsSecondHeartbeatOn) {
+  HeartbeatHandler handler(context(), term_, machines_, entitlement_,
+                           responder_, faults_);
+  handler.Handle(1, HeartbeatOf("m-1", 1, 1));
+  EXPECT_FALSE(machines_.Find("m-1")->TakesTasks(context().now()));
+  handler.Handle(2, HeartbeatOf("m-1", 1, 2));
+  EXPECT_TRUE(machines_.Find("m-1")->TakesTasks(context().now()));
+}
+
+TEST_F(PartitionUnit, AnswersCarryStartsOfBoundAttemptsOnce) {
+  StoreJob(SmallJob());
+  Machine& machine = AddMachine("m-1");
+  BoundAttempt& attempt = Bind(machine);
+  machine.pending_request = 3;
+  machine.pending_since = context().now();
+  responder_.AnswerHeartbeats(context().now() - Millis(1));
+  EXPECT_EQ(ReplyStatus(), 0) << "it came later";
+  responder_.AnswerHeartbeats(context().now());
+  EXPECT_EQ(ReplyStatus(), 200);
+  EXPECT_TRUE(attempt.start_sent);
+  EXPECT_EQ(machine.pending_request, 0u);
+  responder_.AnswerHeartbeats(context().now());
+  EXPECT_EQ(ReplyStatus(), 0) << "answered already";
+}
+
+TEST_F(PartitionUnit, AMachineIsGoneOnceItsLeaseHasExpired) {
+  MachineHealth health(context(), term_, machines_, responder_, reschedule_);
+  Machine& machine = AddMachine("m-1");
+  // The lease, 0.1% for drift, and half a second.
+  environment_.Advance(Seconds(10.51));
+  health.UpdateLease(machine);
+  EXPECT_FALSE(machine.gone);
+  environment_.Advance(Millis(1));
+  health.UpdateLease(machine);
+  EXPECT_TRUE(machine.gone);
+}
+
+TEST_F(PartitionUnit, AMachineThatNeverShowedTheTokenIsGoneOnlyAfterTheBound) {
+  StoreJob(SmallJob());
+  MachineHealth health(context(), term_, machines_, responder_, reschedule_);
+  Machine& machine = machines_.GetOrAdd("m-1");
+  Bind(machine);
+  environment_.Advance(Seconds(30.03));
+  health.UpdateLease(machine);
+  EXPECT_FALSE(machine.gone) << "an earlier owner may still have answered";
+  environment_.Advance(Millis(1));
+  health.UpdateLease(machine);
+  EXPECT_TRUE(machine.gone);
+}
+
+TEST_F(PartitionUnit, SilentMachinesAreDeletedAndForgottenOnConfirmation) {
+  MachineHealth health(context(), term_, machines_, responder_, reschedule_);
+  AddMachine("m-1");
+  for (const char* name : {"m-2", "m-3"}) AddMachine(name);
+  environment_.Advance(Seconds(8.1));
+  for (const char* name : {"m-2", "m-3"}) AddMachine(name);
+  health.DeleteMachines();
+  std::optional<CallId> call;
+  for (const Effect& effect : environment_.out.TakeEffects()) {
+    if (const auto* cloud = std::get_if<CloudCall>(&effect)) {
+      call = cloud->call;
+      const auto& request = std::get<DeleteMachines>(cloud->request);
+      EXPECT_EQ(request.machines, std::vector<std::string>{"m-1"});
+    }
+  }
+  ASSERT_TRUE(call);
+  EXPECT_TRUE(machines_.Find("m-1")->deleting);
+  EXPECT_FALSE(machines_.Find("m-1")->gone);
+  CloudReply reply;
+  reply.call = *call;
+  reply.status = 200;
+  environment_.out.Handle(reply);
+  EXPECT_TRUE(machines_.WasDeleted("m-1"));
+  EXPECT_TRUE(MachineHealth::IsForgettable(*machines_.Find("m-1")));
+}
+
+TEST_F(PartitionUnit, SilenceOfMostMachinesAtOnceIsNotBelieved) {
+  MachineHealth health(context(), term_, machines_, responder_, reschedule_);
+  for (const char* name : {"m-1", "m-2", "m-3"}) AddMachine(name);
+  environment_.Advance(Seconds(8.1));
+  AddMachine("m-3");
+  health.DeleteMachines();
+  EXPECT_FALSE(machines_.Find("m-1")->deleting);
+}
+
+TEST_F(PartitionUnit, ReplicasLeaveACordonedMachineOnceAnotherHasCapacity) {
+  JobSpec spec = SmallJob();
+  spec.shape = Shape::kService;
+  StoreJob(spec);
+  MachineDrainer drainer(context(), machines_);
+  Machine& machine = AddMachine("m-1");
+  BoundAttempt& attempt = Bind(machine);
+  machine.cordoned = true;
+  drainer.Drain(machine);
+  EXPECT_FALSE(attempt.drain_requested) << "there is no other machine";
+  AddMachine("m-2", "b");
+  drainer.Drain(machine);
+  EXPECT_FALSE(attempt.drain_requested) << "not in the same zone";
+  AddMachine("m-3");
+  drainer.Drain(machine);
+  EXPECT_TRUE(attempt.drain_requested);
+}
+
+TEST_F(PartitionUnit, TasksWithCheckpointsLeaveIfMuchIsLeftToDo) {
+  JobSpec spec = SmallJob();
+  spec.checkpoint = Seconds(10);
+  spec.save = Seconds(1);
+  StoreJob(spec);
+  MachineDrainer drainer(context(), machines_);
+  Machine& machine = AddMachine("m-1");
+  BoundAttempt& attempt = Bind(machine);
+  machine.cordoned = true;
+  attempt.running_since = context().now() - Seconds(31);
+  drainer.Drain(machine);
+  EXPECT_FALSE(attempt.drain_requested) << "it has only begun";
+  attempt.running_since = context().now() - Seconds(95);
+  drainer.Drain(machine);
+  EXPECT_FALSE(attempt.drain_requested) << "it is about to end";
+  attempt.running_since = context().now() - Seconds(40);
+  drainer.Drain(machine);
+  EXPECT_TRUE(attempt.drain_requested);
+}
+
+TEST_F(PartitionUnit, EndsAreAddedOnProofAndFreeWhatTheyUsed) {
+  StoreJob(SmallJob());
+  StoreChunk({{0, 1, "m-1", "a"}, {1, 1, "m-1", "a"}});
+  AttemptBindings bindings(environment_.state_cache, 0, machines_, quota_,
+                           reschedule_);
+  Machine& machine = AddMachine("m-1");
+  machine.heartbeat->tasks = {
+      {kJob, 0, 1, TaskState::kExited, ExitCause::kDone},
+      {kJob, 1, 1, TaskState::kRunning, ExitCause::kNone}};
+  AttemptReconciler reconciler(context(), term_, machines_, quota_);
+  PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
+  reconciler.AddEnds(pending);
+  ASSERT_EQ(pending.chunks.size(), 1u);
+  const ChunkRecord& record = pending.chunks.begin()->second.record;
+  EXPECT_TRUE(HasTask(record.done, 0));
+  ASSERT_EQ(record.assigned.size(), 1u);
+  EXPECT_EQ(record.assigned[0].task, 1u);
+  EXPECT_TRUE((machine.bound[{kJob, 0}].ending));
+  EXPECT_FALSE((machine.bound[{kJob, 1}].ending));
+  ASSERT_EQ(pending.reports.size(), 1u);
+  EXPECT_EQ(pending.reports[0].kind, AttemptReport::Kind::kSuccess);
+  EXPECT_EQ(machine.planned, Resources{} - SmallJob().resources);
+}
+
+TEST_F(PartitionUnit, AJobIsFinishedWithItsLastTask) {
+  StoreJob(SmallJob(1));
+  StoreChunk({{0, 1, "m-1", "a"}});
+  AttemptBindings bindings(environment_.state_cache, 0, machines_, quota_,
+                           reschedule_);
+  AddMachine("m-1").heartbeat->tasks = {
+      {kJob, 0, 1, TaskState::kExited, ExitCause::kDone}};
+  AttemptReconciler reconciler(context(), term_, machines_, quota_);
+  PendingTransaction pending({1, 4, TransactionBudget::kUnlimited});
+  reconciler.AddEnds(pending);
+  reconciler.AddFinishedJobs(pending);
+  EXPECT_TRUE(pending.done_jobs.contains(kJob));
+  PendingTransaction without_puts({0, 4, TransactionBudget::kUnlimited});
+  reconciler.AddEnds(without_puts);
+  reconciler.AddFinishedJobs(without_puts);
+  EXPECT_TRUE(without_puts.done_jobs.empty());
+}
+
+TEST_F(PartitionUnit, StartsGoToOpenMachinesWithinTheBudget) {
+  StoreJob(SmallJob());
+  Machine& machine = AddMachine("m-1");
+  AddMachine("m-2").cordoned = true;
+  TaskStarter starter(context(), term_, machines_, quota_, faults_.tracker());
+  PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
+  starter.AddStarts(pending, {&StoredJob()});
+  EXPECT_EQ(pending.starts, 4u);
+  ASSERT_EQ(pending.chunks.size(), 1u);
+  for (const Assignment& assignment :
+       pending.chunks.begin()->second.record.assigned) {
+    EXPECT_EQ(assignment.machine, "m-1");
+    EXPECT_EQ(assignment.attempt, 1u);
+  }
+  EXPECT_EQ(machine.planned, SmallJob().resources * 4);
+  machines_.ForgetPlanned();
+  PendingTransaction no_jobs({4, 0, TransactionBudget::kUnlimited});
+  starter.AddStarts(no_jobs, {&StoredJob()});
+  EXPECT_EQ(no_jobs.starts, 0u);
+}
+
+TEST_F(PartitionUnit, NothingStartsForAJobThatPeersCallCancelled) {
+  StoreJob(SmallJob());
+  AddMachine("m-1");
+  context().cancelled_by_peers.insert(kJob);
+  TaskStarter starter(context(), term_, machines_, quota_, faults_.tracker());
+  PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
+  starter.AddStarts(pending, {&StoredJob()});
+  EXPECT_TRUE(pending.empty());
+}
+
+TEST_F(PartitionUnit, AGangStartsAsAWholeOrNotAtAll) {
+  JobSpec spec = SmallJob();
+  spec.shape = Shape::kGang;
+  StoreJob(spec);
+  AddMachine("m-1").capacity = Resources::FromDecimals(3, 0, 16);
+  TaskStarter starter(context(), term_, machines_, quota_, faults_.tracker());
+  PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
+  starter.AddStarts(pending, {&StoredJob()});
+  EXPECT_EQ(pending.starts, 0u);
+  AddMachine("m-2").capacity = Resources::FromDecimals(1, 0, 16);
+  starter.AddStarts(pending, {&StoredJob()});
+  EXPECT_EQ(pending.starts, 4u);
+}
+
+TEST_F(TwoPartitionsUnit, WaitingChunksGoWhereThereIsCapacity) {
+  StoreJob(SmallJob());
+  FreeCapacity free;
+  free.AddMachine(Resources::FromDecimal(8), false);
+  context().capacity_table.Update(1, free, context().now());
+  ChunkTransfer transfer(context(), term_);
+  PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
+  SteadyTime now = context().now();
+  transfer.AddTransfers(pending, StoredJob(), now);
+  EXPECT_TRUE(pending.transfers.empty()) << "it has only begun to wait";
+  transfer.AddTransfers(pending, StoredJob(), now - Seconds(1));
+  ASSERT_TRUE(pending.transfers.contains(kJob));
+  EXPECT_EQ(pending.transfers[kJob][0].partition, 1u);
+  EXPECT_EQ(pending.transfers[kJob][0].epoch, 1u);
+}
+
+TEST_F(TwoPartitionsUnit, ChunksWithBoundTasksStay) {
+  StoreJob(SmallJob());
+  StoreChunk({{0, 1, "m-1", "a"}});
+  FreeCapacity free;
+  free.AddMachine(Resources::FromDecimal(8), false);
+  context().capacity_table.Update(1, free, context().now());
+  ChunkTransfer transfer(context(), term_);
+  PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
+  transfer.AddTransfers(pending, StoredJob(), context().now() - Seconds(60));
+  EXPECT_TRUE(pending.transfers.empty());
+}
+
+TEST_F(PartitionUnit, EveryTransactionDependsOnTheTokenAndTheWriteFence) {
+  StoreJob(SmallJob());
+  PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
+  pending.starting.insert(&StoredJob());
+  pending.ChangeOf(StoredJob(), 0, 1)
+      .record.assigned.push_back({0, 1, "m-1", "a"});
+  TransactionBuilder builder(context(), term_);
+  std::optional<Transaction> transaction = builder.Build(pending, 33);
+  ASSERT_TRUE(transaction);
+  ASSERT_EQ(transaction->conditions.size(), 4u);
+  EXPECT_EQ(transaction->conditions[0].key, keys::Partition(0));
+  EXPECT_EQ(transaction->conditions[0].mod_revision, kFencingToken);
+  EXPECT_EQ(transaction->conditions[1].key, keys::WriteFence(0, kFencingToken));
+  EXPECT_EQ(transaction->conditions[1].mod_revision, 33u);
+  EXPECT_EQ(transaction->conditions[2].key, keys::Job(kJob));
+  EXPECT_EQ(transaction->conditions[2].mod_revision, 101u);
+  ASSERT_EQ(transaction->writes.size(), 1u);
+  EXPECT_EQ(transaction->writes[0].key, transaction->conditions[3].key);
+}
+
+TEST_F(PartitionUnit, ALoadRecordIsAddedOnceAPeriod) {
+  AddMachine("m-1").used = Resources::FromDecimals(2, 0, 1);
+  LoadReporter reporter(context(), term_, machines_, faults_.tracker());
+  PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
+  reporter.AddLoad(pending);
+  ASSERT_TRUE(pending.load);
+  EXPECT_EQ(pending.load->used, Resources::FromDecimals(2, 0, 1));
+  reporter.OnStored(pending);
+  PendingTransaction again({4, 4, TransactionBudget::kUnlimited});
+  reporter.AddLoad(again);
+  EXPECT_FALSE(again.load) << "stored already";
+  environment_.Advance(environment_.tuning.period);
+  reporter.AddLoad(again);
+  EXPECT_TRUE(again.load);
+}
+
+TEST_F(PartitionUnit, RecordsAreMeasuredByTheStateServicesLimits) {
+  RecordSizes sizes(context().state_limits);
+  JobRecord record;
+  record.spec = SmallJob();
+  EXPECT_TRUE(sizes.FitsValue(record));
+  record.spec.image = std::string(10000, 'x');
+  EXPECT_FALSE(sizes.FitsValue(record));
+  ChunkRecord chunk;
+  EXPECT_TRUE(sizes.FitsSegmentWithOneMore(kJob, 0, chunk));
+  for (uint32_t task = 0; task < 200; ++task) {
+    chunk.assigned.push_back({task, 1, "machine-" + std::to_string(task), "a"});
+  }
+  EXPECT_FALSE(sizes.FitsSegmentWithOneMore(kJob, 0, chunk));
+}
+
+// What the committer makes of a status, and whether it writes on.
+class CommitterTest : public PartitionUnit {
+ protected:
+  CommitterTest() : committer_(std::make_unique<Committer>(context(), term_)) {}
+
+  void Commit() {
+    Transaction transaction;
+    transaction.conditions.push_back({keys::Partition(0), kFencingToken});
+    transaction.writes.push_back({keys::Load(0), LoadRecord{}, 0});
+    PendingTransaction pending({1, 1, 1});
+    committer_->Commit(
+        std::move(pending), std::move(transaction),
+        [this](CommitOutcome outcome, const PendingTransaction&) {
+          outcome_ = outcome;
+        });
+  }
+  void Reply(int status, std::vector<std::string> failed = {}) {
+    StateReply reply;
+    reply.status = status;
+    reply.revision = 200;
+    reply.failed = std::move(failed);
+    environment_.AnswerState(reply);
+  }
+
+  std::unique_ptr<Committer> committer_;
+  std::optional<CommitOutcome> outcome_;
+};
+
+TEST_F(CommitterTest, AStoredTransactionShowsInTheStateCacheAtOnce) {
+  Commit();
+  EXPECT_TRUE(committer_->busy());
+  Reply(200);
+  EXPECT_EQ(outcome_, CommitOutcome::kStored);
+  EXPECT_FALSE(committer_->busy());
+  ASSERT_NE(environment_.state_cache.FindLoad(0), nullptr);
+  EXPECT_EQ(environment_.state_cache.FindLoad(0)->mod_revision, 200u);
+}
+
+TEST_F(CommitterTest, WhatIsRefusedWasNotCarriedOut) {
+  for (int status : {429, 503}) {
+    Commit();
+    Reply(status);
+    EXPECT_EQ(outcome_, CommitOutcome::kRefused) << status;
+    EXPECT_FALSE(committer_->busy());
+    EXPECT_FALSE(committer_->outcome_unknown());
+  }
+}
+
+TEST_F(CommitterTest, AWriteThatIsTooLargeReducesTheLimits) {
+  Commit();
+  Reply(400);
+  EXPECT_EQ(outcome_, CommitOutcome::kTooLarge);
+  EXPECT_TRUE(context().state_limits.Reduced());
+  EXPECT_FALSE(committer_->busy());
+}
+
+TEST_F(CommitterTest, AfterAConflictTheStateIsReadFirst) {
+  Commit();
+  Reply(409, {keys::Load(0)});
+  EXPECT_EQ(outcome_, CommitOutcome::kConflict);
+  EXPECT_FALSE(committer_->outcome_unknown());
+  EXPECT_TRUE(committer_->busy());
+  environment_.Read();
+  EXPECT_FALSE(committer_->busy());
+}
+
+TEST_F(CommitterTest, AfterAnUnknownOutcomeTheWriteFenceIsAdvanced) {
+  Commit();
+  Reply(0);
+  EXPECT_EQ(outcome_, CommitOutcome::kUnknown);
+  environment_.Read();
+  ASSERT_TRUE(committer_->outcome_unknown());
+  bool advanced = false;
+  committer_->AdvanceWriteFence([&advanced](bool ok) { advanced = ok; });
+  Reply(200);
+  EXPECT_TRUE(advanced);
+  EXPECT_EQ(committer_->write_fence(), 200u);
+  EXPECT_TRUE(committer_->busy()) << "the state is read once more";
+  environment_.Read();
+  EXPECT_FALSE(committer_->busy());
+  EXPECT_FALSE(committer_->outcome_unknown());
+}
+
+TEST_F(CommitterTest, AConflictOnTheWriteFenceItselfIsUnknownToo) {
+  Commit();
+  Reply(409, {keys::WriteFence(0, kFencingToken)});
+  EXPECT_TRUE(committer_->outcome_unknown());
+}
+
+TEST_F(CommitterTest, AReplyAfterItsEndIsDropped) {
+  Commit();
+  committer_.reset();
+  Reply(200);
+  EXPECT_FALSE(outcome_);
+}
+
+TEST_F(PartitionUnit, AMachineThatFailsWhatOthersCompleteIsQuarantined) {
+  for (const char* id : {"run-000002", "run-000003", "run-000004"}) {
+    JobSpec spec = SmallJob();
+    spec.id = id;
+    StoreJob(spec);
+  }
+  AddMachine("m-1");
+  AddMachine("m-2");
+  for (const char* id : {"run-000002", "run-000003", "run-000004"}) {
+    faults_.RecordFailure("m-1", id);
+  }
+  for (const char* id : {"run-000002", "run-000003", "run-000004"}) {
+    faults_.RecordSuccess("m-2", id);
+  }
+  EXPECT_TRUE(machines_.Find("m-1")->quarantined);
+  EXPECT_FALSE(machines_.Find("m-2")->quarantined);
+}
+
+}  // namespace
+}  // namespace pitchfall
