--- a/src/core/model/messages.h
+++ b/src/core/model/messages.h
@@ -3,6 +3,7 @@
 #ifndef PITCHFALL_CORE_MODEL_MESSAGES_H_
 #define PITCHFALL_CORE_MODEL_MESSAGES_H_
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -41,6 +42,15 @@
   ExitCause cause = ExitCause::kNone;
 };
 
+// Orders the heartbeats of one machine: a worker's agent counts them anew in
+// each of its epochs.
+struct HeartbeatId {
+  uint64_t agent_epoch = 0;
+  uint64_t sequence = 0;
+  friend auto operator<=>(const HeartbeatId&, const HeartbeatId&) = default;
+};
+
+// What a worker says of its machine, periodically and when something changes.
 struct WorkerHeartbeat {
   std::string machine;
   std::string address;
@@ -50,8 +60,10 @@
   uint64_t agent_epoch = 0;
   uint64_t seq = 0;
   uint64_t fencing_token = 0;
-  std::optional<Duration> preemption_notice;
+  std::optional<Duration> preemption_notice;  // until the machine is taken
   std::vector<ReportedTask> tasks;
+
+  HeartbeatId id() const { return {agent_epoch, seq}; }
 };
 
 struct WorkerCommand {
--- /dev/null
+++ b/src/core/partition/attempt_outcome.cc
@@ -0,0 +1,67 @@
+#include "core/partition/attempt_outcome.h"
+
+namespace pitchfall {
+namespace {
+
+AttemptOutcome OutcomeOfExit(ExitCause cause) {
+  switch (cause) {
+    case ExitCause::kDone:
+      return AttemptOutcome::kDone;
+    case ExitCause::kError:
+      return AttemptOutcome::kFailed;
+    case ExitCause::kNoCapacity:
+    case ExitCause::kBusy:
+    case ExitCause::kUnknownTask:
+      return AttemptOutcome::kRefused;
+    case ExitCause::kStopped:
+    case ExitCause::kNone:
+      break;
+  }
+  return AttemptOutcome::kGone;
+}
+
+}  // namespace
+
+const ReportedTask* FindReported(const WorkerHeartbeat& heartbeat,
+                                 const TaskKey& key, uint32_t attempt) {
+  for (const ReportedTask& task : heartbeat.tasks) {
+    if (task.task == key.second && task.attempt == attempt &&
+        task.job == key.first) {
+      return &task;
+    }
+  }
+  return nullptr;
+}
+
+AttemptOutcome ClassifyAttempt(const Machine& machine, const TaskKey& key,
+                               const BoundAttempt& attempt,
+                               uint64_t fencing_token, bool wanted) {
+  if (machine.gone) return AttemptOutcome::kGone;
+  // Before the worker has seen this owner's token, an earlier owner's answer
+  // may still start it.
+  if (!machine.heartbeat || machine.heartbeat->fencing_token < fencing_token) {
+    return AttemptOutcome::kBound;
+  }
+  const WorkerHeartbeat& heartbeat = *machine.heartbeat;
+  const ReportedTask* task = FindReported(heartbeat, key, attempt.attempt);
+  if (task != nullptr) {
+    return task->state == TaskState::kExited ? OutcomeOfExit(task->cause)
+                                             : AttemptOutcome::kBound;
+  }
+  // An earlier owner's start can have run in an earlier agent epoch, and this
+  // owner's too: never start the same attempt again then.
+  if (attempt.bound_by_previous_owner || attempt.reported) {
+    return AttemptOutcome::kGone;
+  }
+  AttemptOutcome not_started =
+      wanted ? AttemptOutcome::kBound : AttemptOutcome::kGone;
+  if (!attempt.start_sent) return not_started;
+  if (attempt.start_sent->agent_epoch != heartbeat.agent_epoch) {
+    return AttemptOutcome::kGone;
+  }
+  // The start travels in the answer to this very heartbeat.
+  if (*attempt.start_sent >= heartbeat.id()) return AttemptOutcome::kBound;
+  return not_started;
+}
+
+}  // namespace pitchfall
--- a/src/core/partition/attempt_reconciler.cc
+++ b/src/core/partition/attempt_reconciler.cc
@@ -14,8 +14,8 @@
     if (!machine.heartbeat && !machine.gone) continue;
     bool takes_tasks = machine.TakesTasks(now);
     for (auto& [key, attempt] : machine.bound) {
-      bool wanted =
-          IsWanted(context_, attempt) && !attempt.stop() && takes_tasks;
+      bool wanted = IsWanted(context_, attempt) && !attempt.StopRequested() &&
+                    takes_tasks;
       // Whatever was drafted before is not stored, or the state cache would
       // show it.
       attempt.ending = false;
@@ -61,7 +61,7 @@
     for (const AttemptEnd& end : ends) {
       end.attempt->ending = true;
       AddReport(pending, end);
-      end.machine->planned -= spec.resources;
+      end.machine->planned.resources -= spec.resources;
       quota_.AddPlanned(spec.team, Resources{} - spec.resources);
     }
   }
--- a/src/core/partition/attempt_reconciler.h
+++ b/src/core/partition/attempt_reconciler.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "core/model/machine.h"
+#include "core/partition/attempt_outcome.h"
 #include "core/partition/machine_registry.h"
 #include "core/partition/ownership_term.h"
 #include "core/partition/pending_transaction.h"
--- a/src/core/partition/heartbeat_handler.cc
+++ b/src/core/partition/heartbeat_handler.cc
@@ -15,8 +15,8 @@
   if (answered && !machine.fencing_token_seen) return true;
   for (const auto& [key, attempt] : machine.bound) {
     if (!attempt.start_sent || attempt.reported) continue;
-    const auto& [epoch, sequence] = *attempt.start_sent;
-    if (epoch == heartbeat.agent_epoch && sequence < heartbeat.seq) return true;
+    bool same_epoch = attempt.start_sent->agent_epoch == heartbeat.agent_epoch;
+    if (same_epoch && *attempt.start_sent < heartbeat.id()) return true;
   }
   return false;
 }
@@ -56,8 +56,7 @@
   // epoch.
   bool same_epoch = heartbeat.agent_epoch <= newest.agent_epoch;
   if (machine->gone && same_epoch) return true;
-  return std::pair(heartbeat.agent_epoch, heartbeat.seq) <=
-         std::pair(newest.agent_epoch, newest.seq);
+  return heartbeat.id() <= newest.id();
 }
 
 void HeartbeatHandler::Accept(RequestId request,
@@ -174,12 +173,12 @@
   }
   Duration stable_after = WithDrift(context_.deployment.worker_lease) +
                           2 * context_.deployment.heartbeat_interval;
-  bool stable = now - machine.agent_epoch_since > stable_after;
+  bool stable = now - machine.inbound.agent_epoch_since > stable_after;
   if (IgnoresAnswers(machine, heartbeat)) {
-    if (!machine.inbound_suspect_since) machine.inbound_suspect_since = now;
-  } else if (stable || !machine.epoch_ended_while_answered) {
-    machine.inbound_suspect_since.reset();
-    machine.epoch_ended_while_answered = false;
+    if (!machine.inbound.suspect_since) machine.inbound.suspect_since = now;
+  } else if (stable || !machine.inbound.epoch_ended_while_answered) {
+    machine.inbound.suspect_since.reset();
+    machine.inbound.epoch_ended_while_answered = false;
   }
 }
 
@@ -188,14 +187,15 @@
 void HeartbeatHandler::NoteNewAgentEpoch(Machine& machine) {
   SteadyTime now = context_.now();
   Duration lease = WithDrift(context_.deployment.worker_lease);
-  bool answered_in_time = machine.answers >= kAnswersBeforeDoubt &&
-                          now - machine.last_answer < lease;
+  bool answered_in_time =
+      machine.inbound.answers_in_epoch >= kAnswersBeforeDoubt &&
+      now - machine.last_answer < lease;
   if (answered_in_time) {
-    machine.epoch_ended_while_answered = true;
-    if (!machine.inbound_suspect_since) machine.inbound_suspect_since = now;
+    machine.inbound.epoch_ended_while_answered = true;
+    if (!machine.inbound.suspect_since) machine.inbound.suspect_since = now;
   }
-  machine.agent_epoch_since = now;
-  machine.answers = 0;
+  machine.inbound.agent_epoch_since = now;
+  machine.inbound.answers_in_epoch = 0;
 }
 
 }  // namespace pitchfall
--- a/src/core/partition/machine_health.cc
+++ b/src/core/partition/machine_health.cc
@@ -60,10 +60,10 @@
 }
 
 bool MachineHealth::InboundUnreachable(const Machine& machine) const {
-  if (!machine.inbound_suspect_since) return false;
+  if (!machine.inbound.suspect_since) return false;
   Duration limit = WithDrift(context_.deployment.worker_lease) +
                    4 * context_.deployment.heartbeat_interval;
-  return context_.now() - *machine.inbound_suspect_since > limit;
+  return context_.now() - *machine.inbound.suspect_since > limit;
 }
 
 // If most have fallen silent at once it is more likely the network; if many
--- a/src/core/partition/machine_registry.h
+++ b/src/core/partition/machine_registry.h
@@ -52,8 +52,6 @@
   void ForgetPlanned() {
     for (auto& [name, machine] : machines_) {
       machine.planned = {};
-      machine.planned_images.clear();
-      machine.planned_services.clear();
     }
   }
 
--- a/src/core/partition/partition.cc
+++ b/src/core/partition/partition.cc
@@ -182,7 +182,8 @@
     for (auto& [key, attempt] : machine.bound) {
       auto victim = victims.find({key.first, key.second, attempt.attempt});
       bool chosen = victim != victims.end();
-      attempt.at_once = chosen && victim->second == StopKind::kAtOnce;
+      attempt.stop_without_saving =
+          chosen && victim->second == StopKind::kAtOnce;
       if (chosen && !attempt.preempted) {
         context_.out.Log(LogLevel::kInfo,
                          "event=preempt job={} task={} machine={} team={}",
@@ -214,7 +215,8 @@
                             const PendingTransaction& pending,
                             SteadyTime sent) {
   reschedule_.Raise();
-  for (auto& [name, machine] : machines_.machines()) machine.planned = {};
+  for (auto& [name, machine] : machines_.machines())
+    machine.planned.resources = {};
   quota_.ForgetPlanned();
   last_write_too_large_ = outcome == CommitOutcome::kTooLarge;
   switch (outcome) {
--- a/src/core/partition/task_starter.cc
+++ b/src/core/partition/task_starter.cc
@@ -217,9 +217,9 @@
   if (NeedsOrderedStarts(job)) pending.ordered_starts.insert(&job);
   pending.starts += 1;
   pending.waited += context_.now() - placement.waiting_since;
-  machine.planned += spec.resources;
-  machine.planned_images.insert(spec.image);
-  if (spec.shape == Shape::kService) machine.planned_services.insert(spec.id);
+  machine.planned.resources += spec.resources;
+  machine.planned.images.insert(spec.image);
+  if (spec.shape == Shape::kService) machine.planned.services.insert(spec.id);
   quota_.AddPlanned(spec.team, spec.resources);
   placement.zone_use.tasks[machine.zone] += 1;
   placement.zone_use.total += 1;
--- a/src/core/partition/worker_responder.cc
+++ b/src/core/partition/worker_responder.cc
@@ -46,7 +46,7 @@
   context_.out.Answer(machine.pending_request, 200, std::move(commands));
   machine.pending_request = 0;
   machine.last_answer = context_.now();
-  machine.answers += 1;
+  machine.inbound.answers_in_epoch += 1;
 }
 
 void WorkerResponder::Refuse(Machine& machine) {
--- a/src/core/partition/worker_responder.h
+++ b/src/core/partition/worker_responder.h
@@ -11,6 +11,7 @@
 #include "core/partition/answer_entitlement.h"
 #include "core/partition/machine_registry.h"
 #include "core/partition/ownership_term.h"
+#include "core/partition/worker_commands.h"
 #include "core/state/context.h"
 
 namespace pitchfall {
--- a/src/core/scheduling/displacement.cc
+++ b/src/core/scheduling/displacement.cc
@@ -31,7 +31,8 @@
   std::vector<Candidate> candidates;
   for (const auto& [key, task] : machine.bound) {
     const JobSpec& other = task.job->spec();
-    if (task.stop() || task.ending || other.priority >= spec.priority) continue;
+    if (task.StopRequested() || task.ending || other.priority >= spec.priority)
+      continue;
     candidates.push_back(
         {key, other.priority, LostWork(task, now), other.resources});
   }
@@ -44,7 +45,8 @@
 Resources ExpectedCapacity(const Machine& machine) {
   Resources capacity = machine.Free();
   for (const auto& [key, task] : machine.bound) {
-    if (task.stop() && !task.ending) capacity += task.job->spec().resources;
+    if (task.StopRequested() && !task.ending)
+      capacity += task.job->spec().resources;
   }
   return capacity;
 }
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -228,7 +228,7 @@
     // Replicas of one service start on different machines at the same time:
     // an image that is only planned for is no nearer than none.
     bool coming = service ? machine->bound_images.contains(spec.image)
-                          : machine->Coming(spec.image);
+                          : machine->WillHaveImage(spec.image);
     int image = machine->images.contains(spec.image) ? 0 : coming ? 1 : 2;
     bool together = service && machine->HasTaskOf(spec.id);
     int64_t tasks = image < 2 ? 0 : spec.resources.CountIn(free, waiting);
--- a/tests/answer_bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -375,7 +375,7 @@
   BoundAttempt own;
   own.job = state_cache_.FindJob("run-1");
   own.attempt = 1;
-  own.start_sent = std::pair<uint64_t, uint64_t>(1, 2);
+  own.start_sent = HeartbeatId{1, 2};
   Machine machine;
   machine.bound[{"run-1", 0}] = own;
   CommandPolicy policy;
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -12,6 +12,8 @@
 #include "core/base/token_bucket.h"
 #include "core/controller.h"
 #include "core/model/machine.h"
+#include "core/partition/attempt_outcome.h"
+#include "core/partition/worker_commands.h"
 #include "core/scheduling/demand.h"
 #include "core/scheduling/placement.h"
 #include "core/scheduling/preemption.h"
@@ -97,13 +99,13 @@
 }
 
 TEST_F(AttemptProof, AStartOnItsWayIsNotGone) {
-  task_.start_sent = std::pair<uint64_t, uint64_t>(2, 10);
+  task_.start_sent = HeartbeatId{2, 10};
   EXPECT_EQ(Ask(true), AttemptOutcome::kBound);
   EXPECT_EQ(Ask(false), AttemptOutcome::kBound);
 }
 
 TEST_F(AttemptProof, AStartThatANewerHeartbeatLacksWasNotCarriedOut) {
-  task_.start_sent = std::pair<uint64_t, uint64_t>(2, 9);
+  task_.start_sent = HeartbeatId{2, 9};
   EXPECT_EQ(Ask(true), AttemptOutcome::kBound);  // sent again
   EXPECT_EQ(Ask(false), AttemptOutcome::kGone);
 }
@@ -111,12 +113,12 @@
 // In an agent epoch that ended the try may have run: it must not be started
 // again.
 TEST_F(AttemptProof, ANewAgentEpochEndsWhatWasStartedBefore) {
-  task_.start_sent = std::pair<uint64_t, uint64_t>(1, 9);
+  task_.start_sent = HeartbeatId{1, 9};
   EXPECT_EQ(Ask(true), AttemptOutcome::kGone);
 }
 
 TEST_F(AttemptProof, AnotherTryOfTheTaskSaysNothing) {
-  task_.start_sent = std::pair<uint64_t, uint64_t>(2, 10);
+  task_.start_sent = HeartbeatId{2, 10};
   Reported(TaskState::kExited, ExitCause::kDone, 2);
   EXPECT_EQ(Ask(), AttemptOutcome::kBound);
 }
@@ -173,7 +175,7 @@
   EXPECT_EQ(grace(88), Seconds(6));   // 12 s since the start
   EXPECT_EQ(grace(97), Duration(0));  // 3 s
   EXPECT_EQ(grace(57), Duration(0));  // 3 s since its second checkpoint
-  task_.at_once = true;
+  task_.stop_without_saving = true;
   EXPECT_EQ(grace(88), Duration(0));
 }
 
--- a/tests/partition_units_test.cc
+++ b/tests/partition_units_test.cc
@@ -362,7 +362,7 @@
   EXPECT_FALSE((machine.bound[{kJob, 1}].ending));
   ASSERT_EQ(pending.reports.size(), 1u);
   EXPECT_EQ(pending.reports[0].kind, AttemptReport::Kind::kSuccess);
-  EXPECT_EQ(machine.planned, Resources{} - SmallJob().resources);
+  EXPECT_EQ(machine.planned.resources, Resources{} - SmallJob().resources);
 }
 
 TEST_F(PartitionUnit, AJobIsFinishedWithItsLastTask) {
@@ -397,7 +397,7 @@
     EXPECT_EQ(assignment.machine, "m-1");
     EXPECT_EQ(assignment.attempt, 1u);
   }
-  EXPECT_EQ(machine.planned, SmallJob().resources * 4);
+  EXPECT_EQ(machine.planned.resources, SmallJob().resources * 4);
   machines_.ForgetPlanned();
   PendingTransaction no_jobs({4, 0, TransactionBudget::kUnlimited});
   starter.AddStarts(no_jobs, {&StoredJob()});
