--- a/src/core/model/records.h
+++ b/src/core/model/records.h
@@ -58,6 +58,7 @@
   Duration checkpoint{0};
   Duration save{0};
   std::optional<Duration> deadline;
+  friend bool operator==(const JobSpec&, const JobSpec&) = default;
 
   bool AllowsType(const std::string& type) const {
     return !types ||
@@ -85,6 +86,7 @@
       1;  // partitions that take chunks in turn, from `home` on
   // By chunk, once one has been given to another partition; until then empty.
   std::vector<ChunkOwner> owners;
+  friend bool operator==(const JobRecord&, const JobRecord&) = default;
 
   bool final() const { return state != JobState::kAccepted; }
   uint32_t chunk_count() const {
@@ -119,8 +121,10 @@
     std::string job;
     uint32_t chunk = 0;
     ChunkRecord record;
+    friend bool operator==(const Entry&, const Entry&) = default;
   };
   std::vector<Entry> entries;
+  friend bool operator==(const SegmentRecord&, const SegmentRecord&) = default;
 };
 
 // A live controller process; its key hangs on a lease.
@@ -128,6 +132,7 @@
   std::string label;
   std::string incarnation;
   uint32_t version = kFirstVersion;
+  friend bool operator==(const NodeRecord&, const NodeRecord&) = default;
 };
 
 // Names the owner of a partition. The modification revision of this key is the
@@ -138,6 +143,8 @@
   // The owner before, if it gave the partition up because its workers could not
   // reach it: it should not get it back at once.
   std::string unreachable_owner;
+  friend bool operator==(const PartitionRecord&,
+                         const PartitionRecord&) = default;
 };
 
 // A instance request request, stored before it is sent.
@@ -148,6 +155,8 @@
   uint32_t count = 0;
   WallTime asked;
   std::vector<std::string> machines;  // once the cloud has answered
+  friend bool operator==(const InstanceRequestRecord&,
+                         const InstanceRequestRecord&) = default;
 };
 
 // How much of a limited team's capacity each partition may use. The sum stays
@@ -160,12 +169,14 @@
     friend bool operator==(const QuotaShare&, const QuotaShare&) = default;
   };
   std::vector<QuotaShare> shares;
+  friend bool operator==(const TeamRecord&, const TeamRecord&) = default;
 };
 
 // Machines that the leader wants returned; the partitions' owners empty and
 // delete them.
 struct DrainRecord {
   std::vector<std::string> machines;
+  friend bool operator==(const DrainRecord&, const DrainRecord&) = default;
 };
 
 // What a partition's owner reports once a period.
@@ -179,6 +190,7 @@
   Duration waited{0};
   // Jobs that fail on every machine; they ask for no capacity.
   std::vector<std::string> failing;
+  friend bool operator==(const LoadRecord&, const LoadRecord&) = default;
 };
 
 // The leader's last decision, and what its successor needs to go on.
@@ -187,12 +199,14 @@
     Resources requested;
     double utilisation = 0;
     double delay = -1;  // seconds; negative: nothing started
+    friend bool operator==(const Point&, const Point&) = default;
   };
   uint64_t period = 0;
   uint32_t target = 0;
   uint32_t count = 0;
   std::string reason;
   std::vector<Point> history;  // one a period, the newest last
+  friend bool operator==(const SizingRecord&, const SizingRecord&) = default;
 };
 
 struct MachineType {
@@ -211,6 +225,7 @@
 // submissions while the cloud's interface is down.
 struct TypesRecord {
   std::vector<MachineType> types;
+  friend bool operator==(const TypesRecord&, const TypesRecord&) = default;
 };
 
 using Record = std::variant<JobRecord, SegmentRecord, NodeRecord,
