--- a/src/core/model/limits.h
+++ b/src/core/model/limits.h
@@ -7,7 +7,7 @@
 
 namespace pitchfall {
 
-// Into how many chunks a job is cut at the most.
+// The largest number of chunks that a job is divided into.
 inline constexpr uint32_t kMaxChunks = 64;
 
 // How many tasks of a chunk may be on machines at once, beside the bound that
@@ -16,10 +16,11 @@
 inline constexpr uint32_t kMaxInChunkVersion1 = 96;
 inline constexpr uint32_t kMaxInChunk = 2048;
 
-// The state service takes this many bytes in a transaction, counted as JSON;
-// the rest of them is for what counting in advance may miss.
+// The state service takes transactions of 64 KiB, counted as JSON. A tenth of
+// that is kept in reserve for what counting in advance may miss.
 inline constexpr size_t kTransactionBytes = 64 * 1024 * 9 / 10;
-// For each condition or write, its key and the names of its fields.
+// What a condition or a write adds besides its value, at the most: its key and
+// the names of its fields.
 inline constexpr size_t kOperationBytes = 100;
 
 }  // namespace pitchfall
