--- a/src/core/model/limits.h
+++ b/src/core/model/limits.h
@@ -19,8 +19,8 @@
 // The state service takes transactions of 64 KiB, counted as JSON. A tenth of
 // that is kept in reserve for what counting in advance may miss.
 inline constexpr size_t kTransactionBytes = 64 * 1024 * 9 / 10;
-// What a condition or a write adds besides its value, at the most: its key and
-// the names of its fields.
+// What is counted for a condition or a write besides its value: its key and the
+// names of its fields.
 inline constexpr size_t kOperationBytes = 100;
 
 }  // namespace pitchfall
