--- /dev/null
+++ b/src/core/state/job_table.cc
@@ -0,0 +1,171 @@
+#include "core/state/job_table.h"
+
+#include <charconv>
+#include <iterator>
+#include <optional>
+#include <tuple>
+
+#include "core/state/versioned.h"
+
+namespace pitchfall {
+namespace {
+
+std::optional<uint32_t> ParseNumber(std::string_view text) {
+  uint32_t number = 0;
+  const char* end = text.data() + text.size();
+  if (std::from_chars(text.data(), end, number).ptr != end) return std::nullopt;
+  return number;
+}
+
+// Of a job that is over, users ask only for its outcome and its size.
+void KeepOnlyOutcome(Job& job) {
+  JobSpec spec;
+  spec.id = job.spec().id;
+  spec.tasks = job.spec().tasks;
+  job.record.spec = std::move(spec);
+  job.record.owners = {};
+}
+
+bool HasChunkNewerThan(const Job& job, uint64_t revision) {
+  for (const auto& [number, chunk] : job.chunks) {
+    if (chunk.mod_revision > revision) return true;
+  }
+  return false;
+}
+
+}  // namespace
+
+bool Supersedes(const Job::Chunk& candidate, const Job::Chunk& current) {
+  return std::tie(candidate.record.epoch, candidate.mod_revision) >
+         std::tie(current.record.epoch, current.mod_revision);
+}
+
+bool JobTable::ApplyJob(const std::string& id, const Change& change) {
+  const auto* record = RecordOf<JobRecord>(change);
+  if (record == nullptr) return false;  // job records are never deleted
+  std::unique_ptr<Job>& job = jobs_[id];
+  if (job && job->mod_revision >= change.mod_revision) return false;
+  if (!job) job = std::make_unique<Job>();
+  job->record = *record;
+  job->mod_revision = change.mod_revision;
+  UpdateOpenJobs(*job);
+  return true;
+}
+
+void JobTable::ApplySegment(std::string_view partition_and_slot,
+                            const Change& change) {
+  size_t slash = partition_and_slot.find('/');
+  if (slash == std::string_view::npos) return;
+  auto partition = ParseNumber(partition_and_slot.substr(0, slash));
+  auto slot = ParseNumber(partition_and_slot.substr(slash + 1));
+  if (!partition || !slot) return;
+  const auto* record = RecordOf<SegmentRecord>(change);
+  Segment& segment = segments_[{*partition, *slot}];
+  // The same version again may name jobs that were unknown the first time.
+  if (record == nullptr || segment.mod_revision > change.mod_revision) return;
+  segment.mod_revision = change.mod_revision;
+  segment.chunks.clear();
+  for (const SegmentRecord::Entry& entry : record->entries) {
+    auto job = jobs_.find(entry.job);
+    if (job == jobs_.end()) continue;
+    segment.chunks.push_back({entry.job, entry.chunk});
+    ApplyChunk(*job->second, entry.chunk,
+               {entry.record, change.mod_revision, *partition, *slot});
+  }
+}
+
+void JobTable::ApplyChunk(Job& job, uint32_t chunk, Job::Chunk version) {
+  // Replicas are never done, whatever an earlier version of pitchfall stored.
+  if (job.spec().shape == Shape::kService) version.record.done.clear();
+  auto [it, is_new] = job.chunks.try_emplace(chunk);
+  Job::Chunk& current = it->second;
+  if (!is_new && !Supersedes(version, current)) return;
+  bool copied_forward = !is_new && current.partition == version.partition &&
+                        current.record == version.record;
+  if (copied_forward) {
+    current.mod_revision = version.mod_revision;
+    current.slot = version.slot;
+    return;
+  }
+  ReplaceChunk(job, chunk, current, is_new, std::move(version));
+}
+
+void JobTable::ReplaceChunk(Job& job, uint32_t chunk, Job::Chunk& current,
+                            bool is_new, Job::Chunk version) {
+  if (!is_new) live_bytes_.Remove(current);
+  Job::Chunk before = std::exchange(current, std::move(version));
+  live_bytes_.Add(current);
+  job.done += CountTasks(current.record.done) - CountTasks(before.record.done);
+  job.assigned += static_cast<uint32_t>(current.record.assigned.size()) -
+                  static_cast<uint32_t>(before.record.assigned.size());
+  for (ChunkListener* listener : listeners_) {
+    listener->OnChunk(job, chunk, is_new ? nullptr : &before, &current);
+  }
+  UpdateOpenJobs(job);
+}
+
+void JobTable::UpdateOpenJobs(Job& job) {
+  if (job.open()) {
+    open_jobs_[job.spec().id] = &job;
+    closing_.erase(&job);
+  } else {
+    open_jobs_.erase(job.spec().id);
+    closing_.insert(&job);
+  }
+}
+
+// A job is forgotten only once everything up to the newest change has been
+// read: an older segment that is read later would otherwise bind its tasks
+// again, and what they need would be unknown.
+void JobTable::ForgetFinished(uint64_t revision) {
+  std::erase_if(closing_, [this, revision](Job* job) {
+    if (HasChunkNewerThan(*job, revision)) return false;
+    for (const auto& [number, chunk] : job->chunks) live_bytes_.Remove(chunk);
+    job->chunks.clear();
+    KeepOnlyOutcome(*job);
+    return true;
+  });
+}
+
+const Job* JobTable::Find(const std::string& id) const {
+  auto job = jobs_.find(id);
+  return job == jobs_.end() ? nullptr : job->second.get();
+}
+
+const JobTable::Segment* JobTable::FindSegment(uint32_t partition,
+                                               uint32_t slot) const {
+  auto segment = segments_.find({partition, slot});
+  return segment == segments_.end() ? nullptr : &segment->second;
+}
+
+uint32_t JobTable::SlotCount(uint32_t partition) const {
+  auto next = segments_.lower_bound({partition + 1, 0});
+  if (next == segments_.begin()) return 0;
+  const auto& [last_partition, last_slot] = std::prev(next)->first;
+  return last_partition == partition ? last_slot + 1 : 0;
+}
+
+template <typename Visitor>
+void JobTable::ForEachOpenChunk(Visitor visit) const {
+  for (const auto& [id, job] : open_jobs_) {
+    for (const auto& [number, chunk] : job->chunks) visit(*job, number, chunk);
+  }
+}
+
+void JobTable::AnnounceRemovals(const Listeners& listeners) const {
+  ForEachOpenChunk([&](const Job& job, uint32_t number, const auto& chunk) {
+    for (ChunkListener* listener : listeners) {
+      listener->OnChunk(job, number, &chunk, nullptr);
+    }
+  });
+}
+
+void JobTable::AnnounceArrivals(const Listeners& listeners) const {
+  ForEachOpenChunk([&](const Job& job, uint32_t number, const auto& chunk) {
+    for (ChunkListener* listener : listeners) {
+      listener->OnChunk(job, number, nullptr, &chunk);
+    }
+  });
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/state/versioned.h
@@ -0,0 +1,62 @@
+// Tables of records that are kept current by changes of the state service.
+#ifndef PITCHFALL_CORE_STATE_VERSIONED_H_
+#define PITCHFALL_CORE_STATE_VERSIONED_H_
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <variant>
+
+#include "core/model/messages.h"
+
+namespace pitchfall {
+
+// A record with the modification revision of its key, as compare-and-swap
+// conditions need it.
+template <typename T>
+struct Versioned {
+  T value;
+  uint64_t mod_revision = 0;
+};
+
+// Records of one type by the last part of their keys.
+template <typename T>
+using VersionedTable = std::map<std::string, Versioned<T>>;
+
+// The change's record, or null if it is a deletion or a record of another type.
+template <typename T>
+const T* RecordOf(const Change& change) {
+  return change.value ? std::get_if<T>(&*change.value) : nullptr;
+}
+
+// Applies the change to the record `name`. A change that is not newer than that
+// record is ignored: replies of the state service can overtake each other.
+template <typename T>
+void ApplyChange(VersionedTable<T>& table, const std::string& name,
+                 const Change& change) {
+  auto current = table.find(name);
+  if (current != table.end() &&
+      current->second.mod_revision >= change.mod_revision) {
+    return;
+  }
+  const T* record = RecordOf<T>(change);
+  if (record != nullptr) {
+    table.insert_or_assign(name, Versioned<T>{*record, change.mod_revision});
+  } else if (current != table.end()) {
+    table.erase(current);
+  }
+}
+
+// The same for a record of which there is only one.
+template <typename T>
+void ApplyChange(std::optional<Versioned<T>>& current, const Change& change) {
+  if (current && current->mod_revision >= change.mod_revision) return;
+  const T* record = RecordOf<T>(change);
+  current.reset();
+  if (record != nullptr) current = Versioned<T>{*record, change.mod_revision};
+}
+
+}  // namespace pitchfall
+
+#endif  // PITCHFALL_CORE_STATE_VERSIONED_H_
