--- a/src/core/state/segments.cc
+++ b/src/core/state/segments.cc
@@ -1,33 +1,21 @@
 #include "core/state/segments.h"
 
 #include <algorithm>
-#include <map>
-#include <tuple>
+#include <compare>
+#include <set>
+#include <utility>
 
 namespace pitchfall {
 namespace {
 
-// A number with the comma or bracket behind it.
-size_t CostOf(uint64_t number) {
-  size_t digits = 2;
-  for (; number >= 10; number /= 10) ++digits;
-  return digits;
-}
-
-size_t CostOf(const TaskSet& tasks) {
-  size_t cost = 0;
-  for (const auto& range : tasks) {
-    cost += CostOf(boost::icl::first(range)) + CostOf(boost::icl::last(range));
-  }
-  return cost;
-}
-
-constexpr size_t kMachineIndex = 6;
+using Entries = std::vector<SegmentRecord::Entry>;
+using ChunkKeys = std::set<StateCache::ChunkKey>;
 
-// Whether this is the chunk's newest version and still says something.
-const Job* LiveIn(const StateCache& state_cache,
-                  const StateCache::ChunkKey& key, uint32_t partition,
-                  uint32_t slot) {
+// The job of the chunk if its newest version lies in this slot and is still
+// needed, else null.
+const Job* FindLiveJob(const StateCache& state_cache,
+                       const StateCache::ChunkKey& key, uint32_t partition,
+                       uint32_t slot) {
   const Job* job = state_cache.FindJob(key.first);
   if (job == nullptr) return nullptr;
   const Job::Chunk* chunk = job->FindChunk(key.second);
@@ -39,43 +27,46 @@
   return over ? nullptr : job;
 }
 
-// Adds to `changed` what the slot holds that is still needed and not in
-// `included` yet.
+// Adds to `entries` the live entries of the slot that are not in `included`,
+// and their keys to `included`.
 void AddLiveEntries(const StateCache& state_cache, uint32_t partition,
-                    uint32_t slot, std::set<StateCache::ChunkKey>& included,
-                    std::vector<SegmentRecord::Entry>& changed) {
+                    uint32_t slot, ChunkKeys& included, Entries& entries) {
   const StateCache::Segment* segment = state_cache.FindSegment(partition, slot);
   if (segment == nullptr) return;
   for (const StateCache::ChunkKey& key : segment->chunks) {
-    const Job* job = LiveIn(state_cache, key, partition, slot);
+    const Job* job = FindLiveJob(state_cache, key, partition, slot);
     if (job == nullptr || !included.insert(key).second) continue;
-    changed.push_back(
-        {key.first, key.second, job->FindChunk(key.second)->record});
+    const ChunkRecord& record = job->FindChunk(key.second)->record;
+    entries.push_back({key.first, key.second, record});
   }
 }
 
-// Entries of old slots that one transaction may move to new ones; more do not
-// fit into it anyhow.
-constexpr size_t kMaxMovedEntries = 500;
-
-// A ring has capacity for this many times what is in use in it.
-constexpr size_t kSpareRing = 4;
+// A ring can hold this many times its live entries.
+constexpr size_t kRingToLiveRatio = 4;
 
 // How many slots the partition's ring has or should get. It never shrinks:
-// slots that were written are read again after a takeover.
+// slots that were written are read again after a failover.
 uint32_t RingSlots(const StateCache& state_cache, uint32_t partition,
                    size_t value_bytes) {
-  size_t wanted = kSpareRing * state_cache.LiveBytes(partition) / value_bytes;
+  size_t live_bytes = state_cache.LiveBytes(partition);
+  size_t wanted = kRingToLiveRatio * live_bytes / value_bytes;
   wanted = std::clamp<size_t>(wanted, kMinSlots, kMaxSlots);
   return std::max(static_cast<uint32_t>(wanted),
                   state_cache.SlotCount(partition));
 }
 
-// Oldest first: the order in which the ring is overwritten. Slots that were
-// never written come before all others.
-std::vector<std::pair<uint64_t, uint32_t>> SlotsByAge(
-    const StateCache& state_cache, uint32_t partition, uint32_t count) {
-  std::vector<std::pair<uint64_t, uint32_t>> slots;
+// A slot of the ring. Ordered by age: the ring is overwritten from the oldest
+// on, and slots that were never written come before all others.
+struct RingSlot {
+  uint64_t mod_revision = 0;  // 0: never written
+  uint32_t slot = 0;
+  friend auto operator<=>(const RingSlot&, const RingSlot&) = default;
+};
+
+// The first `count` slots of the partition's ring, the oldest first.
+std::vector<RingSlot> SlotsByAge(const StateCache& state_cache,
+                                 uint32_t partition, uint32_t count) {
+  std::vector<RingSlot> slots;
   slots.reserve(count);
   for (uint32_t slot = 0; slot < count; ++slot) {
     const StateCache::Segment* segment =
@@ -86,138 +77,140 @@
   return slots;
 }
 
-// Puts the entry into the first segment with capacity for it, or into a new one
-// if the limits allow.
-bool Place(const SegmentRecord::Entry& entry, const SegmentLimits& limits,
-           std::vector<SegmentFiller>& fillers) {
-  size_t total = 0;
-  for (const SegmentFiller& filler : fillers) total += filler.size();
-  for (SegmentFiller& filler : fillers) {
-    size_t others = total - filler.size();
-    size_t available =
-        limits.total_bytes - std::min(limits.total_bytes, others);
-    if (filler.Add(entry, available)) return true;
+// Distributes entries over segments by first fit.
+class SegmentPacker {
+ public:
+  explicit SegmentPacker(const SegmentLimits& limits) : limits_(limits) {}
+
+  // Puts the entry into the first segment with space for it, or into a new one
+  // if the limits allow; false, and nothing changed, if neither is possible.
+  bool Add(const SegmentRecord::Entry& entry) {
+    return AddToPresent(entry) || AddToNew(entry);
+  }
+
+  bool AddAll(const Entries& entries) {
+    return std::ranges::all_of(
+        entries, [this](const auto& entry) { return Add(entry); });
   }
-  if (fillers.size() >= limits.writes || total >= limits.total_bytes) {
+
+  const std::vector<SegmentFiller>& fillers() const { return fillers_; }
+
+ private:
+  bool AddToPresent(const SegmentRecord::Entry& entry) {
+    for (SegmentFiller& filler : fillers_) {
+      size_t size_before = filler.size();
+      size_t others = total_bytes_ - size_before;
+      size_t available =
+          limits_.total_bytes - std::min(limits_.total_bytes, others);
+      if (!filler.Add(entry, available)) continue;
+      total_bytes_ += filler.size() - size_before;
+      return true;
+    }
     return false;
   }
-  SegmentFiller fresh(limits.value_bytes);
-  if (!fresh.Add(entry, limits.total_bytes - total)) return false;
-  fillers.push_back(std::move(fresh));
-  return true;
+
+  bool AddToNew(const SegmentRecord::Entry& entry) {
+    if (fillers_.size() >= limits_.writes ||
+        total_bytes_ >= limits_.total_bytes) {
+      return false;
+    }
+    SegmentFiller filler(limits_.value_bytes);
+    if (!filler.Add(entry, limits_.total_bytes - total_bytes_)) return false;
+    total_bytes_ += filler.size();
+    fillers_.push_back(std::move(filler));
+    return true;
+  }
+
+  const SegmentLimits limits_;
+  std::vector<SegmentFiller> fillers_;
+  size_t total_bytes_ = 0;  // of all fillers
+};
+
+ChunkKeys KeysOf(const Entries& entries) {
+  ChunkKeys keys;
+  for (const auto& entry : entries) keys.insert({entry.job, entry.chunk});
+  return keys;
 }
 
-std::optional<std::vector<SegmentFiller>> Fill(
-    const std::vector<SegmentRecord::Entry>& entries,
-    const SegmentLimits& limits) {
-  std::vector<SegmentFiller> fillers;
-  for (const SegmentRecord::Entry& entry : entries) {
-    if (!Place(entry, limits, fillers)) return std::nullopt;
+// Fills the slots to be overwritten with the entries; false if they do not fit.
+bool FillSlots(const Entries& entries, const SegmentLimits& limits,
+               std::vector<SegmentWrite>& writes) {
+  SegmentLimits limits_of_writes = limits;
+  limits_of_writes.writes = writes.size();
+  SegmentPacker packer(limits_of_writes);
+  if (!packer.AddAll(entries)) return false;
+  for (size_t i = 0; i < packer.fillers().size(); ++i) {
+    writes[i].segment = packer.fillers()[i].segment();
   }
-  return fillers;
+  return true;
 }
 
-// Overwrites the oldest slots, as many as it takes, with the changes and what
-// these slots hold.
+// Overwrites the oldest slots, as many as it takes, with the changes and the
+// live entries of these slots. None if the limits do not allow so many.
 std::optional<std::vector<SegmentWrite>> OverwriteOldest(
-    const StateCache& state_cache, uint32_t partition,
-    std::vector<SegmentRecord::Entry> changed, const SegmentLimits& limits) {
-  std::set<StateCache::ChunkKey> included;
-  for (const auto& entry : changed) included.insert({entry.job, entry.chunk});
-  auto slots =
-      SlotsByAge(state_cache, partition,
-                 RingSlots(state_cache, partition, limits.value_bytes));
+    const StateCache& state_cache, uint32_t partition, const Entries& changed,
+    const SegmentLimits& limits) {
+  Entries entries = changed;
+  ChunkKeys included = KeysOf(changed);
+  uint32_t slot_count = RingSlots(state_cache, partition, limits.value_bytes);
   std::vector<SegmentWrite> writes;
-  while (writes.size() < std::min(limits.writes, slots.size())) {
-    const auto& [mod_revision, slot] = slots[writes.size()];
-    AddLiveEntries(state_cache, partition, slot, included, changed);
-    writes.push_back({slot, mod_revision, {}});
-    SegmentLimits slots_so_far = limits;
-    slots_so_far.writes = writes.size();
-    auto filled = Fill(changed, slots_so_far);
-    if (!filled) continue;
-    for (size_t i = 0; i < filled->size(); ++i) {
-      writes[i].segment = (*filled)[i].segment();
-    }
-    return writes;
+  for (const RingSlot& oldest :
+       SlotsByAge(state_cache, partition, slot_count)) {
+    if (writes.size() >= limits.writes) break;
+    AddLiveEntries(state_cache, partition, oldest.slot, included, entries);
+    writes.push_back({oldest.slot, oldest.mod_revision, {}});
+    if (FillSlots(entries, limits, writes)) return writes;
   }
   return std::nullopt;
 }
 
-// Adds slots to the ring for the changes and as much as fits of what the oldest
-// slots hold.
-std::optional<std::vector<SegmentWrite>> ExtendRing(
-    const StateCache& state_cache, uint32_t partition,
-    const std::vector<SegmentRecord::Entry>& changed,
-    const SegmentLimits& limits) {
-  auto fillers = Fill(changed, limits);
-  uint32_t end = state_cache.SlotCount(partition);
-  if (!fillers || end + limits.writes > kMaxSlots) return std::nullopt;
-  std::set<StateCache::ChunkKey> included;
-  for (const auto& entry : changed) included.insert({entry.job, entry.chunk});
-  std::vector<SegmentRecord::Entry> older;
-  for (const auto& [mod_revision, slot] :
-       SlotsByAge(state_cache, partition, end)) {
-    AddLiveEntries(state_cache, partition, slot, included, older);
-    if (older.size() > kMaxMovedEntries) break;
-  }
-  for (const SegmentRecord::Entry& entry : older) {
-    if (!Place(entry, limits, *fillers)) break;
+// Live entries of the oldest slots, as far as one transaction could move them,
+// without those of `changed`.
+Entries EntriesToMove(const StateCache& state_cache, uint32_t partition,
+                      const Entries& changed) {
+  // More do not fit into a transaction.
+  constexpr size_t kMaxMovedEntries = 500;
+  ChunkKeys included = KeysOf(changed);
+  uint32_t slot_count = state_cache.SlotCount(partition);
+  Entries entries;
+  for (const RingSlot& oldest :
+       SlotsByAge(state_cache, partition, slot_count)) {
+    AddLiveEntries(state_cache, partition, oldest.slot, included, entries);
+    if (entries.size() > kMaxMovedEntries) break;
   }
-  std::vector<SegmentWrite> writes;
-  for (const SegmentFiller& filler : *fillers) {
-    writes.push_back({end++, 0, filler.segment()});
-  }
-  return writes;
+  return entries;
 }
 
-}  // namespace
-
-size_t SegmentFiller::CostOf(
-    const SegmentRecord::Entry& entry,
-    std::set<std::pair<std::string, std::string>>& machines) const {
-  using pitchfall::CostOf;
-  const ChunkRecord& record = entry.record;
-  size_t cost = 12 + entry.job.size() + CostOf(entry.chunk) +
-                CostOf(record.epoch) + CostOf(record.next_attempt) +
-                CostOf(record.done);
-  std::map<std::tuple<std::string, std::string, uint32_t>, TaskSet> groups;
-  for (const Assignment& a : record.assigned) {
-    AddTask(groups[{a.machine, a.zone, a.attempt}], a.task);
-  }
-  for (const auto& [group, tasks] : groups) {
-    const auto& [machine, zone, attempt] = group;
-    cost += 3 + kMachineIndex + CostOf(attempt) + CostOf(tasks);
-    if (!machines_.contains({machine, zone}) &&
-        machines.insert({machine, zone}).second) {
-      cost += machine.size() + zone.size() + 8;
-    }
+// Writes the segments to new slots from `first_slot` on.
+std::vector<SegmentWrite> WritesToNewSlots(
+    const std::vector<SegmentFiller>& fillers, uint32_t first_slot) {
+  std::vector<SegmentWrite> writes;
+  writes.reserve(fillers.size());
+  uint32_t slot = first_slot;
+  for (const SegmentFiller& filler : fillers) {
+    writes.push_back({slot++, 0, filler.segment()});
   }
-  return cost;
+  return writes;
 }
 
-bool SegmentFiller::Add(const SegmentRecord::Entry& entry, size_t max_bytes) {
-  std::set<std::pair<std::string, std::string>> machines;
-  size_t cost = CostOf(entry, machines);
-  if (size_ + cost > std::min(limit_, max_bytes)) return false;
-  size_ += cost;
-  machines_.merge(machines);
-  segment_.entries.push_back(entry);
-  return true;
+// Adds slots to the ring for the changes and for as many live entries of the
+// oldest slots as fit. None if the changes alone do not fit or the ring has
+// reached its maximum size.
+std::optional<std::vector<SegmentWrite>> ExtendRing(
+    const StateCache& state_cache, uint32_t partition, const Entries& changed,
+    const SegmentLimits& limits) {
+  SegmentPacker packer(limits);
+  if (!packer.AddAll(changed)) return std::nullopt;
+  uint32_t slot_count = state_cache.SlotCount(partition);
+  if (slot_count + limits.writes > kMaxSlots) return std::nullopt;
+  // Stops at the first entry that does not fit, although a smaller one behind
+  // it might: the aim is to empty the oldest slot, which is overwritten next,
+  // and entries of newer slots moved in its stead do not help that.
+  packer.AddAll(EntriesToMove(state_cache, partition, changed));
+  return WritesToNewSlots(packer.fillers(), slot_count);
 }
 
-size_t MaxEntryBytes(const SegmentRecord::Entry& entry) {
-  SegmentFiller filler(SIZE_MAX);
-  filler.Add(entry);
-  // Each end may split a range of tasks on machines and begin a range of tasks
-  // that are done; a range is two numbers.
-  size_t ends = entry.record.assigned.size();
-  uint32_t highest = 0;
-  for (const Assignment& assignment : entry.record.assigned) {
-    highest = std::max(highest, assignment.task);
-  }
-  return filler.size() + 2 * ends * 2 * CostOf(highest);
-}
+}  // namespace
 
 std::optional<std::vector<SegmentWrite>> PlanSegments(
     const StateCache& state_cache, uint32_t partition,
--- a/src/core/state/segments.h
+++ b/src/core/state/segments.h
@@ -23,62 +23,36 @@
 #include <cstddef>
 #include <cstdint>
 #include <optional>
-#include <set>
-#include <string>
-#include <utility>
 #include <vector>
 
 #include "core/model/records.h"
+#include "core/state/segment_filler.h"
 #include "core/state/state_cache.h"
 
 namespace pitchfall {
 
-// A ring begins with so many slots. It grows with what it holds, so that little
-// of what is in use lies in the slot overwritten next: a ring that is full of
-// it takes nothing more, not even the end of a task.
+// The bounds of a ring's number of slots. It grows with the live entries, so
+// that few of them lie in the slot that is overwritten next: a ring that is
+// full of live entries takes nothing more, not even the end of a task.
 inline constexpr uint32_t kMinSlots = 32;
 inline constexpr uint32_t kMaxSlots = 4096;
 
-// Fills one segment up to a size, counted as the service counts it.
-class SegmentFiller {
- public:
-  explicit SegmentFiller(size_t limit) : limit_(limit) {}
-
-  // False, and nothing added, if the segment would exceed its limit or
-  // `max_bytes`.
-  bool Add(const SegmentRecord::Entry& entry, size_t max_bytes = SIZE_MAX);
-
-  size_t size() const { return size_; }
-  const SegmentRecord& segment() const { return segment_; }
-
- private:
-  // What the entry adds; remembers its machines in `machines`.
-  size_t CostOf(const SegmentRecord::Entry& entry,
-                std::set<std::pair<std::string, std::string>>& machines) const;
-
-  size_t limit_;
-  size_t size_ = 32;  // field names and brackets
-  std::set<std::pair<std::string, std::string>> machines_;
-  SegmentRecord segment_;
-};
-
-// The most bytes that the chunk's record can take in a segment while its tasks
-// end one by one, in the most unfavourable order, and none are started.
-size_t MaxEntryBytes(const SegmentRecord::Entry& entry);
-
-// The segments to write so that `changed` is stored and nothing is lost: which
-// slots of the partition's ring, and what goes into each. None if that takes
-// more than the limits allow.
+// What one transaction may write.
 struct SegmentLimits {
   size_t value_bytes = 0;  // of each
   size_t total_bytes = 0;  // of all together
   size_t writes = 0;       // how many
 };
+
+// A value to write to a slot of the ring.
 struct SegmentWrite {
   uint32_t slot = 0;
-  uint64_t mod_revision = 0;  // of what is overwritten
+  uint64_t mod_revision = 0;  // of what is overwritten; 0: a new slot
   SegmentRecord segment;
 };
+
+// The segments to write in one transaction so that `changed` is stored and no
+// live entry is lost. None if that takes more than the limits allow.
 std::optional<std::vector<SegmentWrite>> PlanSegments(
     const StateCache& state_cache, uint32_t partition,
     const std::vector<SegmentRecord::Entry>& changed,
