--- a/src/core/state/state_watcher.cc
+++ b/src/core/state/state_watcher.cc
@@ -3,14 +3,28 @@
 #include <utility>
 
 namespace pitchfall {
+namespace {
+
+// Statuses with which the state service answers reads.
+constexpr int kStatusOk = 200;
+// The log does not reach back to the revision asked for.
+constexpr int kStatusCompacted = 410;
+
+// Lets the token bucket go into debt: further pages of a list count as requests
+// but do not wait for the rate.
+constexpr double kUnlimitedDebt = -1e9;
+
+}  // namespace
+
+bool StateWatcher::ReadDue(SteadyTime now) const {
+  if (reading_ || now < next_read_) return false;
+  bool requested = read_requested_ || !waiting_.empty() || !loaded_;
+  return requested || now - started_ >= kIdleInterval;
+}
 
 void StateWatcher::Step() {
-  if (reading_) return;
   SteadyTime now = out_.now().steady;
-  if (now < next_) return;
-  bool wanted = read_requested_ || !waiting_.empty() || !loaded_;
-  if (!wanted && now - started_ < kIdleInterval) return;
-  if (!requests_.Take(now, 1)) return;
+  if (!ReadDue(now) || !requests_.Take(now, 1)) return;
   reading_ = true;
   read_requested_ = false;
   started_ = now;
@@ -24,23 +38,23 @@
 
 void StateWatcher::StartWatch() {
   out_.CallState(WatchRead{state_cache_.revision()}, tuning_.state_timeout,
-                 [this](const StateReply& reply) {
-                   if (reply.status == 410) {
-                     // Too far behind: read everything again.
-                     loaded_ = false;
-                     out_.Log(LogLevel::kWarning,
-                              "event=state_reread reason=log_too_old");
-                     Finish(false);
-                     return;
-                   }
-                   if (reply.status == 200) {
-                     for (const Change& change : reply.changes) {
-                       state_cache_.Apply(change);
-                     }
-                     state_cache_.AdvanceTo(reply.revision);
-                   }
-                   Finish(reply.status == 200);
-                 });
+                 [this](const StateReply& reply) { OnWatchReply(reply); });
+}
+
+void StateWatcher::OnWatchReply(const StateReply& reply) {
+  if (reply.status == kStatusCompacted) {
+    loaded_ = false;  // everything is listed again
+    out_.Log(LogLevel::kWarning, "event=state_reread reason=log_too_old");
+    Finish(false);
+    return;
+  }
+  if (reply.status != kStatusOk) {
+    Finish(false);
+    return;
+  }
+  for (const Change& change : reply.changes) state_cache_.Apply(change);
+  state_cache_.AdvanceTo(reply.revision);
+  Finish(true);
 }
 
 void StateWatcher::StartList() {
@@ -55,7 +69,7 @@
 }
 
 void StateWatcher::OnPage(const StateReply& reply) {
-  if (reply.status != 200) {
+  if (reply.status != kStatusOk) {
     Finish(false);
     return;
   }
@@ -65,10 +79,14 @@
   if (listing_->revision == 0) listing_->revision = reply.revision;
   if (reply.more && !reply.changes.empty()) {
     listing_->after = reply.changes.back().key;
-    requests_.Take(out_.now().steady, 1, -1e9);
+    requests_.Take(out_.now().steady, 1, kUnlimitedDebt);
     StartList();
     return;
   }
+  FinishList();
+}
+
+void StateWatcher::FinishList() {
   listing_->fresh.AdvanceTo(listing_->revision);
   state_cache_.Replace(std::move(listing_->fresh));
   listing_.reset();
@@ -80,15 +98,15 @@
   out_.Log(LogLevel::kInfo, "event=state_loaded revision={} open_jobs={}",
            state_cache_.revision(), state_cache_.open_jobs().size());
   Finish(false);
-  next_ = out_.now().steady;
+  next_read_ = out_.now().steady;
 }
 
-void StateWatcher::Finish(bool ok) {
+void StateWatcher::Finish(bool succeeded) {
   SteadyTime now = out_.now().steady;
   reading_ = false;
-  if (ok) current_as_of_ = started_;
-  next_ = now + (ok ? kBusyInterval : kFailureInterval);
-  for (ReadCallback& waiter : std::exchange(served_, {})) waiter(ok);
+  if (succeeded) current_as_of_ = started_;
+  next_read_ = now + (succeeded ? kBusyInterval : kFailureInterval);
+  for (ReadCallback& waiter : std::exchange(served_, {})) waiter(succeeded);
 }
 
 }  // namespace pitchfall
