--- a/src/core/state/state_limits.h
+++ b/src/core/state/state_limits.h
@@ -15,6 +15,8 @@
 
 namespace pitchfall {
 
+// The present bounds of values and transactions, with what became of writes so
+// far.
 class StateLimits {
  public:
   explicit StateLimits(const Deployment& deployment)
@@ -22,16 +24,19 @@
             deployment.StrictestStateLimits().value_kb * kBytesInKb)),
         operations_(deployment.StrictestStateLimits().txn_ops) {}
 
-  // The largest value, counted as the service's JSON.
+  // The largest value in bytes, counted as the service's JSON.
   size_t ValueBytes() const {
     return std::max(kMinValueBytes, value_bytes_ >> reductions_);
   }
   // The same less a reserve for what counting in advance may miss.
-  size_t UsableValueBytes() const { return ValueBytes() * 9 / 10; }
+  size_t UsableValueBytes() const {
+    return ValueBytes() * kUsablePercent / 100;
+  }
   // Puts and deletes in one transaction.
   size_t Operations() const {
     return std::max(kMinOperations, operations_ >> reductions_);
   }
+  // Whether the bounds are lower than the deployment says.
   bool Reduced() const { return reductions_ > 0; }
 
   // The service answered 400: the write was larger than it takes.
@@ -39,6 +44,7 @@
     reductions_ = std::min(reductions_ + 1, kMaxReductions);
     accepted_ = 0;
   }
+  // The service has taken a write.
   void OnAccepted() {
     if (reductions_ == 0 || ++accepted_ < kAcceptedBeforeIncrease) return;
     --reductions_;
@@ -47,18 +53,20 @@
 
  private:
   static constexpr double kBytesInKb = 1024;
+  static constexpr size_t kUsablePercent = 90;
   // Below these a job's record or a transaction with its chunk cannot be
   // stored at all.
   static constexpr size_t kMinValueBytes = 768;
   static constexpr size_t kMinOperations = 2;
+  // Further refusals do not lower the bounds any more.
   static constexpr unsigned kMaxReductions = 4;
   // So many writes pass before larger ones are tried again.
   static constexpr int kAcceptedBeforeIncrease = 200;
 
   size_t value_bytes_;
   size_t operations_;
-  unsigned reductions_ = 0;
-  int accepted_ = 0;
+  unsigned reductions_ = 0;  // how often the bounds are halved
+  int accepted_ = 0;         // writes since the last refusal or increase
 };
 
 }  // namespace pitchfall
