--- a/src/core/autoscaler/autoscaler.cc
+++ b/src/core/autoscaler/autoscaler.cc
@@ -4,35 +4,25 @@
 #include <cmath>
 #include <utility>
 
-#include "core/autoscaler/sizing/forecast.h"
 #include "core/autoscaler/sizing/tracking.h"
 
 namespace pitchfall {
 namespace {
 
-constexpr Duration kTypesInterval = Millis(30000);
 constexpr Duration kListInterval = Millis(5000);
 constexpr Duration kAdjustInterval = Millis(1000);
+// Q: what a machine too many or too few costs against the tuned R of a move.
+constexpr double kTrackingErrorWeight = 1.0;
 constexpr Duration kRefusedFor = Millis(12000);
 // Deleting earlier than this saves nothing.
 constexpr Duration kMinimumCharge = Millis(60000);
 constexpr uint32_t kMaxPerInstanceRequest = 50;
-constexpr size_t kHistory = 40;
 // Replicas on machines that are to go, at any moment.
 constexpr uint32_t kMaxDrainingReplicas = 4;
-// Of records, as JSON: a instance request without machines, the name of one (as
-// long as any cloud is likely to give), a sizing without history, a point of
-// that.
+// Of records, as JSON: an instance request without machines, the name of one
+// (as long as any cloud is likely to give).
 constexpr size_t kInstanceRequestBytes = 300;
 constexpr size_t kMachineNameBytes = 32;
-constexpr size_t kSizingBytes = 200;
-constexpr size_t kPointBytes = 100;
-// Decimal places of what a point keeps: more would only take room.
-constexpr double kPointSteps = 10000;
-
-double RoundedForStorage(double value) {
-  return std::round(value * kPointSteps) / kPointSteps;
-}
 
 }  // namespace
 
@@ -46,74 +36,32 @@
 }
 
 Autoscaler::Autoscaler(Context& context, uint64_t fencing_token)
-    : context_(context), fencing_token_(fencing_token) {
+    : context_(context),
+      fencing_token_(fencing_token),
+      state_writer_(context.out, context.tuning, context.requests,
+                    context.writes, context.state_watcher, fencing_token),
+      machine_types_(context.out, context.tuning, context.state_cache,
+                     context.cloud, state_writer_),
+      sizing_history_(context.out, context.tuning, context.state_cache,
+                      context.state_limits, machine_types_, state_writer_) {
   context_.out.Log(LogLevel::kInfo, "event=leading token={}", fencing_token);
 }
 
-void Autoscaler::Store(Transaction txn, Outbox::StateHandler handler) {
-  SteadyTime now = context_.now();
-  context_.writes.Take(now, static_cast<double>(txn.writes.size()), -1e9);
-  context_.requests.Take(now, 1, -1e9);
-  txn.conditions.push_back({keys::Partition(0), fencing_token_});
-  storing_ = true;
-  context_.out.CallState(
-      std::move(txn), context_.tuning.state_timeout,
-      [this, handler = std::move(handler),
-       alive = std::weak_ptr<int>(alive_)](const StateReply& reply) {
-        if (alive.expired()) return;
-        handler(reply);
-        // Known by reading, whatever the answer was.
-        context_.state_watcher.AfterNextRead(
-            [this, alive = std::weak_ptr<int>(alive_)](bool) {
-              if (!alive.expired()) storing_ = false;
-            });
-      });
-}
-
 void Autoscaler::Step() {
   SteadyTime now = context_.now();
   if (!context_.state_watcher.Fresh()) return;
-  if (!fetching_types_ && now >= next_types_) FetchTypes();
+  machine_types_.FetchIfDue();
   if (!listing_ && now >= next_list_ && context_.cloud.Take(now, 1)) {
     listing_ = true;
     FetchList("", std::make_shared<std::set<std::string>>(), now);
   }
   ReconcileInstanceRequests();
-  if (now >= next_adjust_ && listed_once_ && context_.state_cache.types()) {
+  if (now >= next_adjust_ && listed_once_ && machine_types_.Loaded()) {
     next_adjust_ = now + kAdjustInterval;
     AdjustSize();
   }
 }
 
-void Autoscaler::FetchTypes() {
-  if (!context_.cloud.Take(context_.now(), 1)) return;
-  fetching_types_ = true;
-  context_.out.CallCloud(
-      GetTypes{}, context_.tuning.cloud_timeout,
-      [this, alive = std::weak_ptr<int>(alive_)](const CloudReply& reply) {
-        if (alive.expired()) return;
-        fetching_types_ = false;
-        bool ok = reply.status == 200 && !reply.types.empty();
-        next_types_ = context_.now() + (ok ? kTypesInterval : Millis(1000));
-        if (ok) StoreTypes({reply.types});
-      });
-}
-
-void Autoscaler::StoreTypes(TypesRecord types) {
-  const auto& stored = context_.state_cache.types();
-  if (stored && stored->value.types == types.types) return;
-  if (storing_) {
-    next_types_ = context_.now() + Millis(1000);
-    return;
-  }
-  Transaction txn;
-  txn.conditions.push_back({keys::kTypes, stored ? stored->mod_revision : 0});
-  txn.writes.push_back({keys::kTypes, std::move(types), 0});
-  Store(std::move(txn), [this](const StateReply& reply) {
-    if (reply.status != 200) next_types_ = context_.now() + Millis(1000);
-  });
-}
-
 void Autoscaler::FetchList(std::string after,
                            const std::shared_ptr<std::set<std::string>>& seen,
                            SteadyTime started) {
@@ -164,120 +112,6 @@
   }
 }
 
-double Autoscaler::Price(const Offer& offer) const {
-  const MachineType* type = context_.state_cache.FindType(offer.type);
-  if (type == nullptr) return 1e9;
-  return offer.spot ? type->spot_price : type->price;
-}
-
-std::vector<Autoscaler::Offer> Autoscaler::OffersByPrice() const {
-  std::vector<Offer> offers;
-  for (const MachineType& type : context_.state_cache.types()->value.types) {
-    for (const std::string& zone : type.zones) {
-      offers.push_back({type.name, zone, true});
-      offers.push_back({type.name, zone, false});
-    }
-  }
-  std::stable_sort(
-      offers.begin(), offers.end(),
-      [this](const Offer& a, const Offer& b) { return Price(a) < Price(b); });
-  return offers;
-}
-
-double Autoscaler::MachinesFor(const Resources& requested_machines) const {
-  const MachineType& type = context_.state_cache.types()->value.types.front();
-  auto machines = [](int64_t needed, int64_t size) {
-    return size <= 0 ? 0.0
-                     : static_cast<double>(needed) / static_cast<double>(size);
-  };
-  return std::max({machines(requested_machines.cpus, type.capacity.cpus),
-                   machines(requested_machines.gpus, type.capacity.gpus),
-                   machines(requested_machines.memory, type.capacity.memory)});
-}
-
-// One point a period: the sum of what the partitions report. A partition whose
-// report is late counts with its last one; otherwise the sum would seem to
-// drop.
-void Autoscaler::RecordPeriod() {
-  const auto& stored = context_.state_cache.sizing();
-  if (history_.empty() && stored && last_period_ == 0) {
-    history_ = stored->value.history;
-    last_period_ = stored->value.period;
-  }
-  Duration wall = context_.out.now().wall.time_since_epoch();
-  auto period = static_cast<uint64_t>(wall / context_.tuning.period);
-  if (period <= last_period_ || storing_) return;
-  bool complete = true;
-  Resources used;
-  SizingRecord::Point point;
-  Duration waited{0};
-  uint32_t started = 0;
-  for (uint32_t partition = 0; partition < context_.partition_count;
-       ++partition) {
-    const auto* load = context_.state_cache.FindLoad(partition);
-    if (load == nullptr || load->value.period < period) complete = false;
-    if (load == nullptr) continue;
-    point.requested += load->value.requested;
-    used += load->value.used;
-    if (load->value.period < period) continue;
-    started += load->value.started;
-    waited += load->value.waited;
-  }
-  Duration into = wall % context_.tuning.period;
-  if (!complete && into < context_.tuning.period / 3) return;
-  last_period_ = period;
-  if (count_ > 0) {
-    point.utilisation =
-        RoundedForStorage(std::min(1.0, MachinesFor(used) / count_));
-  }
-  if (started > 0) {
-    point.delay = RoundedForStorage(ToSeconds(waited) / started);
-  }
-  history_.push_back(point);
-  if (history_.size() > kHistory) history_.erase(history_.begin());
-
-  SizingRecord record;
-  record.period = period;
-  record.target = static_cast<uint32_t>(target_);
-  record.count = static_cast<uint32_t>(count_);
-  record.reason = reason_;
-  size_t bytes = context_.state_limits.UsableValueBytes();
-  size_t points = (bytes - std::min(bytes, kSizingBytes)) / kPointBytes;
-  size_t kept = std::min(points, history_.size());
-  record.history.assign(history_.end() - static_cast<ptrdiff_t>(kept),
-                        history_.end());
-  Transaction txn;
-  txn.writes.push_back({keys::kSizing, std::move(record), 0});
-  Store(std::move(txn), [](const StateReply&) {});
-}
-
-// The targets of the next periods. `requested_machines` receives w for now, in
-// machines.
-std::vector<double> Autoscaler::Targets(const Demand& demand,
-                                        double* requested_machines) const {
-  std::vector<double> series;
-  std::vector<sizing::DelayPoint> points;
-  for (const auto& point : history_) {
-    series.push_back(MachinesFor(point.requested));
-    if (point.delay >= 0) points.push_back({point.utilisation, point.delay});
-  }
-  const MachineType& type = context_.state_cache.types()->value.types.front();
-  *requested_machines = MachinesFor(demand.requested);
-  sizing::TargetInputs in;
-  in.waiting = demand.waiting;
-  in.delay_price = context_.tuning.delay_price;
-  in.rent = type.price * ToSeconds(context_.tuning.period) / 3600;
-  in.delay_bound = ToSeconds(context_.tuning.delay_bound);
-  in.curve = sizing::FitDelay(points, {1.0, 1.0});
-  std::vector<double> targets;
-  for (double forecast : sizing::Forecast(series, context_.tuning.horizon)) {
-    in.capacity = std::max(forecast, *requested_machines);
-    targets.push_back(
-        std::min<double>(sizing::Target(in), context_.tuning.max_machines));
-  }
-  return targets;
-}
-
 int Autoscaler::CountMachines(const Use& use) {
   SteadyTime now = context_.now();
   int count = 0;
@@ -290,8 +124,7 @@
       known.idle_since = now;
     }
     if (context_.state_cache.Draining(name)) continue;
-    const MachineType* type = context_.state_cache.FindType(known.offer.type);
-    Duration boot = type == nullptr ? Millis(60000) : type->boot;
+    Duration boot = machine_types_.BootTimeOf(known.offer);
     bool overdue = known.status == MachineStatus::kBooting && !known.worked &&
                    now - known.created > 3 * boot + Millis(10000);
     if (known.status == MachineStatus::kFailed || overdue) {
@@ -335,7 +168,7 @@
 
 void Autoscaler::AdjustSize() {
   SteadyTime now = context_.now();
-  RecordPeriod();
+  sizing_history_.RecordPeriod(decision_, context_.partition_count);
   Use use;
   for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     for (const auto& [number, chunk] : job->chunks) {
@@ -351,19 +184,19 @@
       context_.state_cache, context_.deployment,
       FailingJobs(context_.state_cache, context_.partition_count),
       context_.out.now().wall, context_.partition_count, std::nullopt);
-  count_ = CountMachines(use);
-  int count = count_ + Pending(false);
-  double requested_machines = 0;
-  std::vector<double> targets = Targets(demand, &requested_machines);
+  decision_.count = CountMachines(use);
+  int count = decision_.count + Pending(false);
+  const SizingTargets targets = sizing_history_.TargetsFor(demand);
   double move =
-      sizing::FirstMove(count, targets, 1.0, context_.tuning.tracking_r);
-  target_ = static_cast<int>(targets.front());
+      sizing::FirstMove(count, targets.by_period, kTrackingErrorWeight,
+                        context_.tuning.tracking_r);
+  decision_.target = static_cast<int>(targets.by_period.front());
   context_.out.Log(LogLevel::kDebug,
                    "event=size target={} count={} room={:.2f} waiting={} "
                    "move={:.2f} busy={}",
-                   target_, count, requested_machines, demand.waiting, move,
-                   use.size());
-  if (storing_) return;
+                   decision_.target, count, targets.requested_machines,
+                   demand.waiting, move, use.size());
+  if (state_writer_.writing()) return;
   // Jobs that must not run on spot machines need enough of the others, and
   // every job at least one machine that it may run on.
   int ordinary = Pending(true);
@@ -378,7 +211,7 @@
     kinds.insert({instance_request.value.type, instance_request.value.zone,
                   instance_request.value.spot});
   }
-  double needed = MachinesFor(demand.ordinary_only);
+  double needed = machine_types_.MachinesFor(demand.ordinary_only);
   if (needed > ordinary) {
     ScaleOut(static_cast<int>(std::ceil(needed - ordinary)), demand, true);
     return;
@@ -407,37 +240,13 @@
   ScaleIn(surplus, ordinary - static_cast<int>(std::ceil(needed)), use);
 }
 
-bool Autoscaler::Serves(const JobSpec& spec, const Offer& offer) const {
-  const MachineType* type = context_.state_cache.FindType(offer.type);
-  return type != nullptr && spec.resources.FitsIn(type->capacity) &&
-         spec.AllowsType(offer.type) && (spec.spot || !offer.spot) &&
-         (spec.zone.empty() || spec.zone == offer.zone);
-}
-
-std::set<std::string> Autoscaler::OpenZones(const Job& job) const {
-  const JobSpec& spec = job.spec();
-  std::map<std::string, uint32_t> here;
-  for (const auto& [number, chunk] : job.chunks) {
-    for (const Assignment& assignment : chunk.record.assigned) {
-      ++here[assignment.zone];
-    }
-  }
-  std::set<std::string> open;
-  for (const MachineType& type : context_.state_cache.types()->value.types) {
-    for (const std::string& zone : type.zones) {
-      bool full = spec.spread && here[zone] + 1 > (spec.tasks + 1) / 2;
-      if (!full) open.insert(zone);
-    }
-  }
-  return open;
-}
-
 // Whether there is a machine of any kind, in a zone where another task of the
 // job may start, that may run it.
 bool Autoscaler::Served(const Job& job, const std::set<Offer>& kinds) const {
-  const std::set<std::string> zones = OpenZones(job);
+  const std::set<std::string> zones = machine_types_.OpenZones(job);
   return std::ranges::any_of(kinds, [&](const Offer& offer) {
-    return zones.contains(offer.zone) && Serves(job.spec(), offer);
+    return zones.contains(offer.zone) &&
+           machine_types_.CanRun(job.spec(), offer);
   });
 }
 
@@ -446,9 +255,9 @@
 // may be free in pieces, or in a zone where no more of them may run.
 bool Autoscaler::HasCapacityForReplica(const Job& job, const Use& use) const {
   const JobSpec& spec = job.spec();
-  const std::set<std::string> zones = OpenZones(job);
+  const std::set<std::string> zones = machine_types_.OpenZones(job);
   auto serves = [&](const Offer& offer) {
-    return zones.contains(offer.zone) && Serves(spec, offer);
+    return zones.contains(offer.zone) && machine_types_.CanRun(spec, offer);
   };
   for (const auto& [name, instance_request] :
        context_.state_cache.instance_requests()) {
@@ -490,9 +299,9 @@
 // As many instance requests as it takes, stored together: one for each turn
 // would let a large fleet wait for its last machines for longer than they take
 // to boot.
-void Autoscaler::StoreInstanceRequests(InstanceOrder order,
-                                       std::string_view reason) {
-  reason_ = reason;
+void Autoscaler::StoreInstanceRequests(OfferCounts order,
+                                       ScalingReason reason) {
+  decision_.reason = reason;
   Transaction txn;
   size_t most = std::max<size_t>(1, context_.state_limits.Operations() / 2);
   while (!order.empty() && txn.writes.size() < most) {
@@ -514,11 +323,11 @@
                      "event=scale_out name={} type={} zone={} spot={} count={} "
                      "target={} have={} reason={}",
                      name, offer.type, offer.zone, offer.spot, record.count,
-                     target_, count_, reason);
+                     decision_.target, decision_.count, ToString(reason));
     txn.conditions.push_back({keys::InstanceRequest(name), 0});
     txn.writes.push_back({keys::InstanceRequest(name), std::move(record), 0});
   }
-  Store(std::move(txn), [](const StateReply&) {});
+  state_writer_.Write(std::move(txn), [](const StateReply&) {});
 }
 
 // The cheapest offers that have not been refused lately. Of several at the same
@@ -526,30 +335,33 @@
 // zones, and a zone may lose its machines.
 void Autoscaler::ScaleOut(int count, const Demand& demand, bool ordinary_only) {
   bool spot_useful = demand.ordinary_only.cpus < demand.requested.cpus;
-  std::map<Offer, int> have;
-  for (const Offer& offer : OffersByPrice()) {
+  OfferCounts have;
+  for (const Offer& offer : machine_types_.OffersByPrice()) {
     if (offer.spot && (ordinary_only || !spot_useful)) continue;
     if (Refused(offer)) continue;
-    if (!have.empty() && Price(offer) > Price(have.begin()->first)) break;
+    if (!have.empty() && machine_types_.PriceOf(offer) >
+                             machine_types_.PriceOf(have.begin()->first))
+      break;
     have[offer] = 0;
   }
   if (have.empty()) return;
   for (const auto& [offer, machines] : CountByOffer()) {
     if (have.contains(offer)) have[offer] = machines;
   }
-  InstanceOrder order;
+  OfferCounts order;
   for (; count > 0; --count) {
     auto fewest = std::ranges::min_element(
         have, {}, [](const auto& entry) { return entry.second; });
     ++fewest->second;
     ++order[fewest->first];
   }
-  StoreInstanceRequests(std::move(order),
-                        ordinary_only ? "ordinary" : "target");
+  StoreInstanceRequests(std::move(order), ordinary_only
+                                              ? ScalingReason::kOrdinary
+                                              : ScalingReason::kTarget);
 }
 
-std::map<Autoscaler::Offer, int> Autoscaler::CountByOffer() const {
-  std::map<Offer, int> counts;
+OfferCounts Autoscaler::CountByOffer() const {
+  OfferCounts counts;
   for (const auto& [name, known] : machines_) {
     if (!context_.state_cache.Draining(name)) ++counts[known.offer];
   }
@@ -564,13 +376,13 @@
 }
 
 void Autoscaler::ScaleOutFor(const Job& job) {
-  const std::set<std::string> zones = OpenZones(job);
-  for (const Offer& offer : OffersByPrice()) {
-    if (!zones.contains(offer.zone) || !Serves(job.spec(), offer) ||
-        Refused(offer)) {
+  const std::set<std::string> zones = machine_types_.OpenZones(job);
+  for (const Offer& offer : machine_types_.OffersByPrice()) {
+    if (!zones.contains(offer.zone) ||
+        !machine_types_.CanRun(job.spec(), offer) || Refused(offer)) {
       continue;
     }
-    StoreInstanceRequests({{offer, 1}}, "unserved");
+    StoreInstanceRequests({{offer, 1}}, ScalingReason::kUnserved);
     return;
   }
 }
@@ -603,10 +415,11 @@
       continue;
     }
     // What is lost while it empties, against the rent that is saved.
-    double load = empty ? 0 : MachinesFor(used->second.resources);
+    double load =
+        empty ? 0 : machine_types_.MachinesFor(used->second.resources);
     uint32_t replicas = empty ? 0 : used->second.replicas;
-    choice.push_back(
-        {replicas, load / Price(known.offer), -Price(known.offer), name});
+    choice.push_back({replicas, load / machine_types_.PriceOf(known.offer),
+                      -machine_types_.PriceOf(known.offer), name});
   }
   std::sort(choice.begin(), choice.end());
   std::vector<std::string> names;
@@ -622,10 +435,10 @@
     names.push_back(name);
   }
   if (names.empty()) return;
-  reason_ = "surplus";
+  decision_.reason = ScalingReason::kSurplus;
   context_.out.Log(LogLevel::kInfo,
                    "event=scale_in machines={} target={} have={}", names.size(),
-                   target_, count_);
+                   decision_.target, decision_.count);
   if (const auto& drain = context_.state_cache.drain()) {
     names.insert(names.begin(), drain->value.machines.begin(),
                  drain->value.machines.end());
@@ -650,7 +463,7 @@
     }
   }
   if (kept == 0) return 0;
-  reason_ = "keep";
+  decision_.reason = ScalingReason::kKeep;
   StoreDrain(std::move(rest));
   return kept;
 }
@@ -666,7 +479,7 @@
   Transaction txn;
   txn.conditions.push_back({keys::kDrain, stored ? stored->mod_revision : 0});
   txn.writes.push_back({keys::kDrain, DrainRecord{std::move(machines)}, 0});
-  Store(std::move(txn), [](const StateReply&) {});
+  state_writer_.Write(std::move(txn), [](const StateReply&) {});
 }
 
 // Rentals are stored first and sent then; what a predecessor stored is sent
@@ -701,14 +514,16 @@
         all_listed = false;
       }
     }
-    if (all_listed && !storing_ && deleting_.insert(name).second) {
+    if (all_listed && !state_writer_.writing() &&
+        deleting_.insert(name).second) {
       Transaction txn;
       txn.conditions.push_back(
           {keys::InstanceRequest(name), instance_request.mod_revision});
       txn.writes.push_back({keys::InstanceRequest(name), {}, 0});
-      Store(std::move(txn), [this, request_name = name](const StateReply&) {
-        deleting_.erase(request_name);
-      });
+      state_writer_.Write(std::move(txn),
+                          [this, request_name = name](const StateReply&) {
+                            deleting_.erase(request_name);
+                          });
     }
   }
 }
@@ -757,7 +572,7 @@
           }
         }
         txn.writes.push_back(std::move(write));
-        Store(std::move(txn), [](const StateReply&) {});
+        state_writer_.Write(std::move(txn), [](const StateReply&) {});
       });
 }
 
--- /dev/null
+++ b/src/core/autoscaler/machine_type_catalog.cc
@@ -0,0 +1,126 @@
+#include "core/autoscaler/machine_type_catalog.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <map>
+#include <utility>
+
+namespace pitchfall {
+namespace {
+
+constexpr Duration kFetchInterval = Millis(30000);
+constexpr Duration kRetryDelay = Millis(1000);
+// Money an hour for a type that is not listed: above any real price, so that
+// its instances are requested last and given up first.
+constexpr double kUnlistedPrice = 1e9;
+// Assumed for a type that is not listed.
+constexpr Duration kUnlistedBootTime = Millis(60000);
+
+}  // namespace
+
+MachineTypeCatalog::MachineTypeCatalog(Outbox& out, const Tuning& tuning,
+                                       const StateCache& state_cache,
+                                       TokenBucket& cloud,
+                                       LeaderStateWriter& state_writer)
+    : out_(out),
+      tuning_(tuning),
+      state_cache_(state_cache),
+      cloud_(cloud),
+      state_writer_(state_writer) {}
+
+void MachineTypeCatalog::FetchIfDue() {
+  const SteadyTime now = out_.now().steady;
+  if (fetching_ || now < next_fetch_) return;
+  if (!cloud_.Take(now, 1)) return;
+  fetching_ = true;
+  out_.CallCloud(GetTypes{}, tuning_.cloud_timeout,
+                 guard_.Wrap([this](const CloudReply& reply) {
+                   fetching_ = false;
+                   const bool ok = reply.status == 200 && !reply.types.empty();
+                   const Duration delay = ok ? kFetchInterval : kRetryDelay;
+                   next_fetch_ = out_.now().steady + delay;
+                   if (ok) Store({reply.types});
+                 }));
+}
+
+void MachineTypeCatalog::Store(TypesRecord types) {
+  const auto& stored = state_cache_.types();
+  if (stored && stored->value.types == types.types) return;
+  if (state_writer_.writing()) {
+    next_fetch_ = out_.now().steady + kRetryDelay;
+    return;
+  }
+  Transaction transaction;
+  transaction.conditions.push_back(
+      {keys::kTypes, stored ? stored->mod_revision : 0});
+  transaction.writes.push_back({keys::kTypes, std::move(types), 0});
+  state_writer_.Write(std::move(transaction), [this](const StateReply& reply) {
+    if (reply.status != 200) next_fetch_ = out_.now().steady + kRetryDelay;
+  });
+}
+
+double MachineTypeCatalog::PriceOf(const Offer& offer) const {
+  const MachineType* type = state_cache_.FindType(offer.type);
+  if (type == nullptr) return kUnlistedPrice;
+  return offer.spot ? type->spot_price : type->price;
+}
+
+Duration MachineTypeCatalog::BootTimeOf(const Offer& offer) const {
+  const MachineType* type = state_cache_.FindType(offer.type);
+  return type == nullptr ? kUnlistedBootTime : type->boot;
+}
+
+std::vector<Offer> MachineTypeCatalog::OffersByPrice() const {
+  std::vector<Offer> offers;
+  for (const MachineType& type : types()) {
+    for (const std::string& zone : type.zones) {
+      offers.push_back({type.name, zone, true});
+      offers.push_back({type.name, zone, false});
+    }
+  }
+  std::stable_sort(offers.begin(), offers.end(),
+                   [this](const Offer& left, const Offer& right) {
+                     return PriceOf(left) < PriceOf(right);
+                   });
+  return offers;
+}
+
+double MachineTypeCatalog::MachinesFor(const Resources& resources) const {
+  const Resources& capacity = types().front().capacity;
+  auto machines = [](int64_t needed, int64_t size) {
+    return size <= 0 ? 0.0
+                     : static_cast<double>(needed) / static_cast<double>(size);
+  };
+  return std::max({machines(resources.cpus, capacity.cpus),
+                   machines(resources.gpus, capacity.gpus),
+                   machines(resources.memory, capacity.memory)});
+}
+
+bool MachineTypeCatalog::CanRun(const JobSpec& spec, const Offer& offer) const {
+  const MachineType* type = state_cache_.FindType(offer.type);
+  return type != nullptr && spec.resources.FitsIn(type->capacity) &&
+         spec.AllowsType(offer.type) && (spec.spot || !offer.spot) &&
+         (spec.zone.empty() || spec.zone == offer.zone);
+}
+
+std::set<std::string> MachineTypeCatalog::OpenZones(const Job& job) const {
+  const JobSpec& spec = job.spec();
+  std::map<std::string, uint32_t> tasks_in;
+  for (const auto& [number, chunk] : job.chunks) {
+    for (const Assignment& assignment : chunk.record.assigned) {
+      ++tasks_in[assignment.zone];
+    }
+  }
+  std::set<std::string> open;
+  for (const MachineType& type : types()) {
+    for (const std::string& zone : type.zones) {
+      // A job that is spread has at most half of its tasks in one zone.
+      const bool full =
+          spec.spread && tasks_in[zone] + 1 > (spec.tasks + 1) / 2;
+      if (!full) open.insert(zone);
+    }
+  }
+  return open;
+}
+
+}  // namespace pitchfall
