--- /dev/null
+++ b/src/core/autoscaler/instance_inventory.cc
@@ -0,0 +1,161 @@
+#include "core/autoscaler/instance_inventory.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+namespace pitchfall {
+namespace {
+
+constexpr Duration kListInterval = Millis(5000);
+constexpr Duration kListRetryDelay = Millis(2000);
+// An instance counts as gone when the list has lacked it for twice the time by
+// which the list may lag behind, and this.
+constexpr Duration kMissingMargin = Millis(5000);
+// An instance is overdue after its type's boot time this many times, and the
+// margin, so that a slow boot is not taken for a failed one.
+constexpr int kOverdueBootTimes = 3;
+constexpr Duration kOverdueMargin = Millis(10000);
+// Names in one call that deletes instances.
+constexpr size_t kMaxDeletedPerCall = 100;
+
+}  // namespace
+
+InstanceInventory::InstanceInventory(Outbox& out, const Deployment& deployment,
+                                     const Tuning& tuning,
+                                     const StateCache& state_cache,
+                                     const MachineTypeCatalog& machine_types,
+                                     TokenBucket& cloud)
+    : out_(out),
+      deployment_(deployment),
+      tuning_(tuning),
+      state_cache_(state_cache),
+      machine_types_(machine_types),
+      cloud_(cloud) {}
+
+const Instance* InstanceInventory::Find(const std::string& name) const {
+  auto found = instances_.find(name);
+  return found == instances_.end() ? nullptr : &found->second;
+}
+
+void InstanceInventory::ListIfDue() {
+  const SteadyTime now = out_.now().steady;
+  if (listing_ || now < next_list_ || !cloud_.Take(now, 1)) return;
+  listing_ = Listing{{}, now};
+  FetchPage("");
+}
+
+void InstanceInventory::FetchPage(std::string after) {
+  out_.CallCloud(
+      ListMachines{std::move(after)}, tuning_.cloud_timeout,
+      guard_.Wrap([this](const CloudReply& reply) { OnPage(reply); }));
+}
+
+void InstanceInventory::OnPage(const CloudReply& reply) {
+  const SteadyTime now = out_.now().steady;
+  if (reply.status != 200) {
+    listing_.reset();
+    next_list_ = now + kListRetryDelay;
+    return;
+  }
+  for (const ListedMachine& listed : reply.listed) {
+    listing_->names.insert(listed.name);
+    Update(listed, listing_->started);
+  }
+  if (reply.more && !reply.listed.empty()) {
+    FetchPage(reply.listed.back().name);
+    return;
+  }
+  RemoveMissing(listing_->names);
+  listing_.reset();
+  listed_once_ = true;
+  next_list_ = now + kListInterval;
+}
+
+void InstanceInventory::Update(const ListedMachine& listed,
+                               SteadyTime list_started) {
+  auto [entry, is_new] = instances_.try_emplace(listed.name);
+  Instance& instance = entry->second;
+  instance.offer = {listed.type, listed.zone, listed.spot};
+  // A list may be older than the one before: an instance that ran does not
+  // boot again.
+  if (is_new || instance.status == MachineStatus::kBooting ||
+      listed.status == MachineStatus::kFailed) {
+    instance.status = listed.status;
+  }
+  if (is_new) instance.created = list_started - listed.age;
+  instance.listed = out_.now().steady;
+}
+
+void InstanceInventory::RemoveMissing(const NameSet& listed) {
+  const SteadyTime now = out_.now().steady;
+  const Duration lag = 2 * deployment_.list_lag + kMissingMargin;
+  std::erase_if(instances_, [&](const auto& entry) {
+    const auto& [name, instance] = entry;
+    // An instance may be too new for the list, or the list old: only a long
+    // absence counts.
+    const SteadyTime last_listed = instance.listed.value_or(SteadyTime{});
+    return !listed.contains(name) && now - instance.created > lag &&
+           now - last_listed > lag;
+  });
+}
+
+void InstanceInventory::AddCreated(const std::string& name, const Offer& offer,
+                                   SteadyTime created) {
+  Instance& instance = instances_[name];
+  instance.offer = offer;
+  if (!instance.listed) instance.created = created;
+}
+
+void InstanceInventory::RecordUse(const MachineUseTable& use) {
+  for (auto& [name, instance] : instances_) {
+    if (use.contains(name)) {
+      instance.has_run_tasks = true;
+      instance.idle_since.reset();
+    } else if (!instance.idle_since) {
+      instance.idle_since = out_.now().steady;
+    }
+  }
+}
+
+bool InstanceInventory::IsBroken(const std::string& name,
+                                 const Instance& instance) const {
+  if (state_cache_.Draining(name)) return false;
+  if (instance.status == MachineStatus::kFailed) return true;
+  // The list may lag behind: an instance that has run tasks has booted.
+  if (instance.status != MachineStatus::kBooting || instance.has_run_tasks) {
+    return false;
+  }
+  const Duration boot = machine_types_.BootTimeOf(instance.offer);
+  const Duration age = out_.now().steady - instance.created;
+  return age > kOverdueBootTimes * boot + kOverdueMargin;
+}
+
+int InstanceInventory::CountUsable() const {
+  return static_cast<int>(
+      std::ranges::count_if(instances_, [this](const auto& entry) {
+        const auto& [name, instance] = entry;
+        return !state_cache_.Draining(name) && !IsBroken(name, instance);
+      }));
+}
+
+void InstanceInventory::DeleteBroken() {
+  std::vector<std::string> names;
+  for (const auto& [name, instance] : instances_) {
+    if (IsBroken(name, instance)) names.push_back(name);
+  }
+  if (names.empty() || !cloud_.Take(out_.now().steady, 1)) return;
+  if (names.size() > kMaxDeletedPerCall) names.resize(kMaxDeletedPerCall);
+  for (const std::string& name : names) {
+    const bool failed = instances_.at(name).status == MachineStatus::kFailed;
+    out_.Log(LogLevel::kInfo, "event=delete machine={} reason={}", name,
+             failed ? "failed" : "boot_overdue");
+  }
+  out_.CallCloud(DeleteMachines{names}, tuning_.cloud_timeout,
+                 guard_.Wrap([this, names](const CloudReply& reply) {
+                   if (reply.status != 200) return;
+                   for (const std::string& name : names) instances_.erase(name);
+                 }));
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/autoscaler/scale_out.cc
@@ -0,0 +1,159 @@
+#include "core/autoscaler/scale_out.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace pitchfall {
+
+ScaleOut::ScaleOut(const StateCache& state_cache,
+                   const MachineTypeCatalog& machine_types,
+                   const InstanceInventory& inventory,
+                   InstanceRequests& requests)
+    : state_cache_(state_cache),
+      machine_types_(machine_types),
+      inventory_(inventory),
+      requests_(requests) {}
+
+bool ScaleOut::RequestOrdinary(int count, const SizingDecision& decision) {
+  return RequestSpread(count, CheapestOffers(false), ScalingReason::kOrdinary,
+                       decision);
+}
+
+bool ScaleOut::RequestCheapest(int count, const Demand& demand,
+                               const SizingDecision& decision) {
+  const bool spot_useful = demand.ordinary_only.cpus < demand.requested.cpus;
+  return RequestSpread(count, CheapestOffers(spot_useful),
+                       ScalingReason::kTarget, decision);
+}
+
+bool ScaleOut::RequestFor(const Job& job, const SizingDecision& decision) {
+  const std::set<std::string> zones = machine_types_.OpenZones(job);
+  for (const Offer& offer : machine_types_.OffersByPrice()) {
+    if (!CanRunMore(job, zones, offer) || requests_.RecentlyRefused(offer)) {
+      continue;
+    }
+    requests_.Create({{offer, 1}}, ScalingReason::kUnserved, decision);
+    return true;
+  }
+  return false;
+}
+
+// Offers at the same price, which differ by zone, each get their share: jobs
+// may have to be spread over zones, and a zone may lose its machines.
+bool ScaleOut::RequestSpread(int count, OfferCounts available,
+                             ScalingReason reason,
+                             const SizingDecision& decision) {
+  if (available.empty()) return false;
+  for (const auto& [offer, instances] : CountByOffer()) {
+    if (available.contains(offer)) available[offer] = instances;
+  }
+  OfferCounts wanted;
+  for (; count > 0; --count) {
+    auto fewest = std::ranges::min_element(
+        available, {}, [](const auto& entry) { return entry.second; });
+    ++fewest->second;
+    ++wanted[fewest->first];
+  }
+  requests_.Create(std::move(wanted), reason, decision);
+  return true;
+}
+
+// The offers at the lowest price that have not been refused lately, each with
+// the count 0.
+OfferCounts ScaleOut::CheapestOffers(bool spot_allowed) const {
+  OfferCounts cheapest;
+  for (const Offer& offer : machine_types_.OffersByPrice()) {
+    if (offer.spot && !spot_allowed) continue;
+    if (requests_.RecentlyRefused(offer)) continue;
+    const double price = machine_types_.PriceOf(offer);
+    if (!cheapest.empty() &&
+        price > machine_types_.PriceOf(cheapest.begin()->first)) {
+      break;
+    }
+    cheapest[offer] = 0;
+  }
+  return cheapest;
+}
+
+// Machines that are not draining and pending instances of each kind.
+OfferCounts ScaleOut::CountByOffer() const {
+  OfferCounts counts;
+  for (const auto& [name, instance] : inventory_.instances()) {
+    if (!state_cache_.Draining(name)) ++counts[instance.offer];
+  }
+  for (const PendingInstances& pending : requests_.Pending()) {
+    counts[pending.offer] += pending.count;
+  }
+  return counts;
+}
+
+const Job* ScaleOut::FindUnservedJob(const Demand& demand,
+                                     const MachineUseTable& use) const {
+  const std::set<Offer> kinds = KindsAtHand();
+  for (const Job* job : demand.waiting_jobs) {
+    const std::set<std::string> zones = machine_types_.OpenZones(*job);
+    const bool served = std::ranges::any_of(kinds, [&](const Offer& offer) {
+      return CanRunMore(*job, zones, offer);
+    });
+    if (!served) return job;
+    const bool service = job->spec().shape == Shape::kService;
+    if (service && !HasCapacityForReplica(*job, use)) return job;
+  }
+  return nullptr;
+}
+
+// Kinds of which there is a machine, or a request that is not deleted yet.
+std::set<Offer> ScaleOut::KindsAtHand() const {
+  std::set<Offer> kinds;
+  for (const auto& [name, instance] : inventory_.instances()) {
+    if (state_cache_.Draining(name)) continue;
+    if (instance.status != MachineStatus::kFailed) kinds.insert(instance.offer);
+  }
+  for (const auto& [name, stored] : state_cache_.instance_requests()) {
+    kinds.insert(OfferOf(stored.value));
+  }
+  return kinds;
+}
+
+// Whether another task of the job can run on this kind, given the zones that
+// its rules leave open.
+bool ScaleOut::CanRunMore(const Job& job, const std::set<std::string>& zones,
+                          const Offer& offer) const {
+  return zones.contains(offer.zone) && machine_types_.CanRun(job.spec(), offer);
+}
+
+// Whether a machine, or a pending one, has or can make capacity for one more
+// replica of the job. The sum of what is requested does not tell: capacity may
+// be free in pieces, or in a zone where no more of the replicas may run.
+bool ScaleOut::HasCapacityForReplica(const Job& job,
+                                     const MachineUseTable& use) const {
+  const std::set<std::string> zones = machine_types_.OpenZones(job);
+  for (const PendingInstances& pending : requests_.Pending()) {
+    if (CanRunMore(job, zones, pending.offer)) return true;
+  }
+  return std::ranges::any_of(inventory_.instances(), [&](const auto& entry) {
+    const auto& [name, instance] = entry;
+    return instance.status != MachineStatus::kFailed &&
+           CanRunMore(job, zones, instance.offer) &&
+           !state_cache_.Draining(name) &&
+           FitsBesideMoreImportant(job.spec(), name, instance, use);
+  });
+}
+
+// Whether a task fits on the machine beside the tasks of its own and higher
+// priority. Less important ones can be displaced.
+bool ScaleOut::FitsBesideMoreImportant(const JobSpec& spec,
+                                       const std::string& machine,
+                                       const Instance& instance,
+                                       const MachineUseTable& use) const {
+  Resources free = state_cache_.FindType(instance.offer.type)->capacity;
+  auto used = use.find(machine);
+  if (used != use.end()) {
+    for (const auto& [priority, resources] : used->second.by_priority) {
+      if (priority >= spec.priority) free -= resources;
+    }
+  }
+  return spec.resources.FitsIn(free);
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/autoscaler/scale_out.h
@@ -0,0 +1,66 @@
+// Which instances to request, and for what.
+#ifndef PITCHFALL_CORE_AUTOSCALER_SCALE_OUT_H_
+#define PITCHFALL_CORE_AUTOSCALER_SCALE_OUT_H_
+
+#include <set>
+#include <string>
+
+#include "core/autoscaler/instance_inventory.h"
+#include "core/autoscaler/instance_requests.h"
+#include "core/autoscaler/machine_type_catalog.h"
+#include "core/autoscaler/machine_use.h"
+#include "core/autoscaler/offer.h"
+#include "core/autoscaler/sizing_decision.h"
+#include "core/scheduling/demand.h"
+#include "core/state/state_cache.h"
+
+namespace pitchfall {
+
+// Chooses offers by price and by what the waiting jobs may run on, and creates
+// requests for them. Has no state of its own. The machine types must be known.
+//
+// Functions that request instances return whether they did: they do not if
+// every offer that would do was refused lately. The decision is for the log.
+class ScaleOut {
+ public:
+  ScaleOut(const StateCache& state_cache,
+           const MachineTypeCatalog& machine_types,
+           const InstanceInventory& inventory, InstanceRequests& requests);
+
+  // Requests `count` (at least 1) instances that are not spot instances.
+  bool RequestOrdinary(int count, const SizingDecision& decision);
+  // Requests `count` (at least 1) instances of the cheapest kinds; no spot
+  // instances if no job may run on them.
+  bool RequestCheapest(int count, const Demand& demand,
+                       const SizingDecision& decision);
+  // Requests one instance of the cheapest kind that can run the job.
+  bool RequestFor(const Job& job, const SizingDecision& decision);
+
+  // The first of the waiting jobs that needs an instance of its own: no machine
+  // can ever run its tasks, or it is a service and no machine has or can make
+  // capacity for one more replica. Null if there is none.
+  const Job* FindUnservedJob(const Demand& demand,
+                             const MachineUseTable& use) const;
+
+ private:
+  bool RequestSpread(int count, OfferCounts available, ScalingReason reason,
+                     const SizingDecision& decision);
+  OfferCounts CheapestOffers(bool spot_allowed) const;
+  OfferCounts CountByOffer() const;
+  std::set<Offer> KindsAtHand() const;
+  bool CanRunMore(const Job& job, const std::set<std::string>& zones,
+                  const Offer& offer) const;
+  bool HasCapacityForReplica(const Job& job, const MachineUseTable& use) const;
+  bool FitsBesideMoreImportant(const JobSpec& spec, const std::string& machine,
+                               const Instance& instance,
+                               const MachineUseTable& use) const;
+
+  const StateCache& state_cache_;
+  const MachineTypeCatalog& machine_types_;
+  const InstanceInventory& inventory_;
+  InstanceRequests& requests_;
+};
+
+}  // namespace pitchfall
+
+#endif  // PITCHFALL_CORE_AUTOSCALER_SCALE_OUT_H_
