--- a/src/core/autoscaler/sizing/forecast.cc
+++ b/src/core/autoscaler/sizing/forecast.cc
@@ -8,6 +8,10 @@
 namespace {
 
 constexpr int kLongLags = 3;
+// A series whose values differ by no more than this share of them is constant.
+constexpr double kConstantTolerance = 1e-9;
+// A forecast is at most this many times the largest observation.
+constexpr double kMaxGrowth = 1.25;
 
 std::vector<double> Differences(std::span<const double> series) {
   std::vector<double> d;
@@ -43,7 +47,8 @@
   ArimaFit fit;
   if (series.size() < kMinObservations) return fit;
   auto [least, most] = std::minmax_element(series.begin(), series.end());
-  if (*most - *least <= 1e-9 * std::max(1.0, std::abs(*most))) return fit;
+  if (*most - *least <= kConstantTolerance * std::max(1.0, std::abs(*most)))
+    return fit;
 
   std::vector<double> d = Differences(series);
   std::vector<double> errors = LongErrors(d);
@@ -73,7 +78,8 @@
   std::vector<double> values(steps, series.back());
   ArimaFit fit = FitArima(series);
   if (!fit.usable) return values;
-  const double ceiling = 1.25 * *std::max_element(series.begin(), series.end());
+  const double ceiling =
+      kMaxGrowth * *std::max_element(series.begin(), series.end());
   size_t n = series.size();
   double value = series[n - 1];
   double d1 = series[n - 1] - series[n - 2];
--- a/src/core/autoscaler/sizing/forecast.h
+++ b/src/core/autoscaler/sizing/forecast.h
@@ -28,8 +28,8 @@
 ArimaFit FitArima(std::span<const double> series);
 
 // The next `steps` values. Without a usable fit each is the last observation;
-// an empty series gives zeros. Values are never below 0 nor above twice the
-// largest observation: a fit on few points can run away.
+// an empty series gives zeros. Values are never below 0 nor above 1.25
+// times the largest observation: a fit on few points can run away.
 std::vector<double> Forecast(std::span<const double> series, size_t steps);
 
 }  // namespace pitchfall::sizing
--- a/src/core/autoscaler/sizing/target.cc
+++ b/src/core/autoscaler/sizing/target.cc
@@ -6,11 +6,20 @@
 namespace pitchfall::sizing {
 namespace {
 
-constexpr double kFullest = 0.98;
+// Utilisations above this count as this: the curve has no value at 1.
+constexpr double kMaxUtilisation = 0.98;
+// Seconds. A fitted delay that does not grow with the load would ask for no
+// spare machines at all.
 constexpr double kMinSlope = 1e-3;
+constexpr size_t kMinPointsToFit = 3;
+// With less variance of the load than this, the points lie at one utilisation.
+constexpr double kMinLoadVariance = 1e-6;
+// Machines. A target that exceeds a whole number by less is a rounding error.
+constexpr double kTargetTolerance = 1e-9;
 
+// U / (1 - U), the variable in which the delay curve is linear.
 double Load(double utilisation) {
-  double u = std::clamp(utilisation, 0.0, kFullest);
+  double u = std::clamp(utilisation, 0.0, kMaxUtilisation);
   return u / (1 - u);
 }
 
@@ -21,7 +30,7 @@
 }
 
 DelayCurve FitDelay(std::span<const DelayPoint> points, DelayCurve fallback) {
-  if (points.size() < 3) return fallback;
+  if (points.size() < kMinPointsToFit) return fallback;
   double n = static_cast<double>(points.size());
   double mean_x = 0;
   double mean_y = 0;
@@ -36,7 +45,7 @@
     sxx += x * x;
     sxy += x * (p.delay - mean_y);
   }
-  if (sxx < 1e-6) return fallback;
+  if (sxx < kMinLoadVariance) return fallback;
   DelayCurve curve;
   curve.slope = std::max(kMinSlope, sxy / sxx);
   curve.base = std::max(0.0, mean_y - curve.slope * mean_x);
@@ -45,16 +54,16 @@
 
 int Target(const TargetInputs& in) {
   if (in.capacity <= 0) return 0;
-  double capacity = in.waiting * in.delay_price * in.curve.slope * in.capacity;
-  double target = in.capacity + std::sqrt(std::max(0.0, capacity / in.rent));
+  double delay_cost =
+      in.waiting * in.delay_price * in.curve.slope * in.capacity;
+  double target = in.capacity + std::sqrt(std::max(0.0, delay_cost / in.rent));
   // d(U) = bound at U = (bound - b) / (a + bound - b).
   double spare = in.delay_bound - in.curve.base;
   double utilisation = std::max(
       in.least_utilisation, spare <= 0 ? 0 : spare / (in.curve.slope + spare));
   target = std::min({target, in.capacity / utilisation,
                      in.capacity + in.max_spare * std::sqrt(in.capacity)});
-  // Whole machines, but not one more for a rounding error.
-  return static_cast<int>(std::ceil(target - 1e-9));
+  return static_cast<int>(std::ceil(target - kTargetTolerance));
 }
 
 }  // namespace pitchfall::sizing
--- a/src/core/autoscaler/sizing/target.h
+++ b/src/core/autoscaler/sizing/target.h
@@ -10,15 +10,17 @@
 
 namespace pitchfall::sizing {
 
+// What was measured in one period.
 struct DelayPoint {
   double utilisation = 0;  // of the most-loaded resource, 0 to 1
   double delay = 0;        // mean wait of the tasks that started, seconds
 };
 
-// d(U) = slope * U / (1 - U) + base.
+// The mean wait at a utilisation: d(U) = slope * U / (1 - U) + base.
 struct DelayCurve {
-  double slope = 1;
-  double base = 0;
+  double slope = 1;  // seconds
+  double base = 0;   // seconds
+  // Seconds. Utilisations near 1 give the value at 0.98.
   double At(double utilisation) const;
 };
 
@@ -26,6 +28,7 @@
 // With fewer than three points, or all at one utilisation, `fallback`.
 DelayCurve FitDelay(std::span<const DelayPoint> points, DelayCurve fallback);
 
+// What the target depends on, in the units above.
 struct TargetInputs {
   double capacity = 0;      // w
   double waiting = 0;       // N, admissible waiting tasks
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -453,6 +453,9 @@
   EXPECT_THAT(state_calls_, IsEmpty());
   // A new leader learns of the machine from the request.
   ASSERT_NE(inventory_.Find("m-1"), nullptr);
+  instance_requests_.Reconcile();
+  Collect();
+  EXPECT_THAT(state_calls_, IsEmpty());
   List({Machine("m-1", kSmallSpot)});
   instance_requests_.Reconcile();
   Collect();
