--- a/src/core/autoscaler/instance_inventory.h
+++ b/src/core/autoscaler/instance_inventory.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/autoscaler/callback_guard.h"
+#include "core/base/lifetime_guard.h"
 #include "core/autoscaler/machine_type_catalog.h"
 #include "core/autoscaler/machine_use.h"
 #include "core/autoscaler/offer.h"
@@ -93,7 +93,7 @@
   std::optional<Listing> listing_;
   bool listed_once_ = false;
   SteadyTime next_list_{};
-  CallbackGuard guard_;
+  LifetimeGuard guard_;
 };
 
 }  // namespace pitchfall
--- a/src/core/autoscaler/instance_requests.h
+++ b/src/core/autoscaler/instance_requests.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/autoscaler/callback_guard.h"
+#include "core/base/lifetime_guard.h"
 #include "core/autoscaler/instance_inventory.h"
 #include "core/autoscaler/leader_state_writer.h"
 #include "core/autoscaler/offer.h"
@@ -88,7 +88,7 @@
   std::map<std::string, SteadyTime> next_send_;
   std::set<std::string> deleting_;
   std::map<Offer, SteadyTime> refused_until_;
-  CallbackGuard guard_;
+  LifetimeGuard guard_;
 };
 
 }  // namespace pitchfall
--- a/src/core/autoscaler/leader_state_writer.h
+++ b/src/core/autoscaler/leader_state_writer.h
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-#include "core/autoscaler/callback_guard.h"
+#include "core/base/lifetime_guard.h"
 #include "core/base/token_bucket.h"
 #include "core/model/outbox.h"
 #include "core/model/settings.h"
@@ -41,7 +41,7 @@
   StateWatcher& state_watcher_;
   const uint64_t fencing_token_;
   bool writing_ = false;
-  CallbackGuard guard_;
+  LifetimeGuard guard_;
 };
 
 }  // namespace pitchfall
--- a/src/core/autoscaler/machine_type_catalog.h
+++ b/src/core/autoscaler/machine_type_catalog.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/autoscaler/callback_guard.h"
+#include "core/base/lifetime_guard.h"
 #include "core/autoscaler/leader_state_writer.h"
 #include "core/autoscaler/offer.h"
 #include "core/base/token_bucket.h"
@@ -61,7 +61,7 @@
   LeaderStateWriter& state_writer_;
   bool fetching_ = false;
   SteadyTime next_fetch_{};
-  CallbackGuard guard_;
+  LifetimeGuard guard_;
 };
 
 }  // namespace pitchfall
--- a/src/core/base/lifetime_guard.h
+++ b/src/core/base/lifetime_guard.h
@@ -9,7 +9,8 @@
 
 // A member of the object that callbacks refer to. Replies to calls may come
 // after the object has been destroyed, for instance when a partition has been
-// handed over; a wrapped callback does nothing then. Not for use from several
+// handed over, and would write to freed memory; a wrapped callback does nothing
+// then. Not for use from several
 // threads.
 class LifetimeGuard {
  public:
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/autoscaler/callback_guard.h"
+#include "core/base/lifetime_guard.h"
 #include "core/autoscaler/instance_inventory.h"
 #include "core/autoscaler/instance_requests.h"
 #include "core/autoscaler/leader_state_writer.h"
@@ -183,9 +183,9 @@
 
 // ---- Callbacks ----
 
-TEST(CallbackGuard, CallbackDoesNothingOnceTheGuardIsGone) {
+TEST(LifetimeGuard, CallbackDoesNothingOnceTheGuardIsGone) {
   int calls = 0;
-  auto guard = std::make_unique<CallbackGuard>();
+  auto guard = std::make_unique<LifetimeGuard>();
   auto callback = guard->Wrap([&calls](int by) { calls += by; });
   callback(2);
   guard.reset();
