--- a/src/core/jobs/users.cc
+++ b/src/core/jobs/users.cc
@@ -50,11 +50,11 @@
     context_.out.Refuse(request, Millis(2000));
     return;
   }
-  std::string problem = WhyImpossible(spec, context_.deployment,
-                                      context_.state_cache.types()->value,
-                                      context_.state_limits.ValueBytes());
-  if (!problem.empty()) {
-    context_.out.Answer(request, 422, Problem{problem});
+  std::optional<Rejection> rejection = WhyImpossible(
+      spec, context_.deployment, context_.state_cache.types()->value,
+      context_.state_limits.ValueBytes());
+  if (rejection) {
+    context_.out.Answer(request, 422, Problem{rejection->message});
     return;
   }
   if (spec.shape == Shape::kService &&
--- a/src/core/model/job.cc
+++ b/src/core/model/job.cc
@@ -13,12 +13,28 @@
 // digits, each with its comma.
 constexpr size_t kOwnerRunBytes = 13;
 
+// A job's record may take up to half of a transaction, which holds more than
+// the record itself.
+constexpr size_t kMaxTransactionShare = kTransactionBytes / 2;
+
+// JSON writes control characters, and may write all beyond ASCII, as an escape
+// of six characters.
+constexpr unsigned char kFirstPrintable = 0x20;
+constexpr unsigned char kDelete = 0x7f;
+constexpr size_t kUnicodeEscapeBytes = 6;
+constexpr size_t kShortEscapeBytes = 2;  // a backslash and the character
+constexpr size_t kQuotesBytes = 2;
+
+size_t EscapedBytes(unsigned char c) {
+  if (c < kFirstPrintable || c >= kDelete) return kUnicodeEscapeBytes;
+  if (c == '"' || c == '\\') return kShortEscapeBytes;
+  return 1;
+}
+
 // Escaped, in the longest form that the text can take.
 size_t JsonBytes(const std::string& text) {
-  size_t bytes = 2;
-  for (unsigned char c : text) {
-    bytes += c < 0x20 || c >= 0x7f ? 6 : c == '"' || c == '\\' ? 2 : 1;
-  }
+  size_t bytes = kQuotesBytes;
+  for (unsigned char c : text) bytes += EscapedBytes(c);
   return bytes;
 }
 
@@ -40,6 +56,35 @@
   return runs;
 }
 
+// Whether the team's limits leave room for as much as must run at once.
+std::optional<Rejection> CheckTeamLimits(const JobSpec& spec,
+                                         const Team& team) {
+  // Tasks of an array can run one after another, others only together.
+  int64_t at_once = spec.shape == Shape::kArray ? 1 : spec.tasks;
+  Resources resources = spec.resources * at_once;
+  if (team.cpus_limit > 0 && resources.cpus > team.cpus_limit) {
+    return Rejection{
+        RejectionReason::kExceedsCpuLimit,
+        "needs more processors at once than team " + spec.team + " may use"};
+  }
+  if (team.gpus_limit > 0 && resources.gpus > team.gpus_limit) {
+    return Rejection{
+        RejectionReason::kExceedsGpuLimit,
+        "needs more accelerators at once than team " + spec.team + " may use"};
+  }
+  return std::nullopt;
+}
+
+// Whether a task fits an empty machine of the type, and the job allows the type
+// and one of the zones in which there is any.
+bool TaskFitsType(const JobSpec& spec, const MachineType& type) {
+  if (!spec.AllowsType(type.name)) return false;
+  bool zone_allowed =
+      spec.zone.empty() || std::find(type.zones.begin(), type.zones.end(),
+                                     spec.zone) != type.zones.end();
+  return zone_allowed && spec.resources.FitsIn(type.capacity);
+}
+
 }  // namespace
 
 size_t RecordBytes(const JobRecord& record) {
@@ -86,34 +131,30 @@
   return answer;
 }
 
-std::string WhyImpossible(const JobSpec& spec, const Deployment& deployment,
-                          const TypesRecord& types, size_t value_bytes) {
+std::optional<Rejection> WhyImpossible(const JobSpec& spec,
+                                       const Deployment& deployment,
+                                       const TypesRecord& types,
+                                       size_t value_bytes) {
   auto team = deployment.teams.find(spec.team);
-  if (team == deployment.teams.end()) return "unknown team " + spec.team;
-  if (MaxRecordBytes(spec) > value_bytes ||
-      MaxRecordBytes(spec) > kTransactionBytes / 2) {
-    return "its description is longer than the state service can keep";
-  }
-  const Team& limits = team->second;
-  // Tasks of an array can run one after another, others only together.
-  int64_t at_once = spec.shape == Shape::kArray ? 1 : spec.tasks;
-  Resources resources = spec.resources * at_once;
-  if (limits.cpus_limit > 0 && resources.cpus > limits.cpus_limit) {
-    return "needs more processors at once than team " + spec.team + " may use";
+  if (team == deployment.teams.end()) {
+    return Rejection{RejectionReason::kUnknownTeam,
+                     "unknown team " + spec.team};
   }
-  if (limits.gpus_limit > 0 && resources.gpus > limits.gpus_limit) {
-    return "needs more accelerators at once than team " + spec.team +
-           " may use";
+  size_t record_bytes = MaxRecordBytes(spec);
+  if (record_bytes > value_bytes || record_bytes > kMaxTransactionShare) {
+    return Rejection{
+        RejectionReason::kDescriptionTooLong,
+        "its description is longer than the state service can keep"};
   }
-  for (const MachineType& type : types.types) {
-    if (!spec.AllowsType(type.name)) continue;
-    if (!spec.zone.empty() && std::find(type.zones.begin(), type.zones.end(),
-                                        spec.zone) == type.zones.end()) {
-      continue;
-    }
-    if (spec.resources.FitsIn(type.capacity)) return "";
+  if (auto rejection = CheckTeamLimits(spec, team->second)) return rejection;
+  bool fits = std::any_of(
+      types.types.begin(), types.types.end(),
+      [&](const MachineType& type) { return TaskFitsType(spec, type); });
+  if (!fits) {
+    return Rejection{RejectionReason::kFitsNoMachineType,
+                     "a task fits no machine type that the job allows"};
   }
-  return "a task fits no machine type that the job allows";
+  return std::nullopt;
 }
 
 }  // namespace pitchfall
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -876,10 +876,14 @@
   types.types.push_back({.name = "g8"});
   types.types[0].capacity = Resources::FromDecimals(8, 0, 32);
   JobSpec spec = Spec("run-1", 4, 1);
-  EXPECT_EQ(WhyImpossible(spec, d, types, kValueBytes), "");
+  EXPECT_FALSE(WhyImpossible(spec, d, types, kValueBytes));
   spec.types = std::vector<std::string>(400, "a-long-type-name");
   spec.types->push_back("g8");
-  EXPECT_EQ(WhyImpossible(spec, d, types, kValueBytes),
+  std::optional<Rejection> rejection =
+      WhyImpossible(spec, d, types, kValueBytes);
+  ASSERT_TRUE(rejection);
+  EXPECT_EQ(rejection->reason, RejectionReason::kDescriptionTooLong);
+  EXPECT_EQ(rejection->message,
             "its description is longer than the state service can keep");
 }
 
--- a/tests/standing_jobs_test.cc
+++ b/tests/standing_jobs_test.cc
@@ -121,9 +121,9 @@
   TypesRecord types;
   types.types.push_back({.name = "g8"});
   types.types[0].capacity = Resources::FromDecimals(8, 0, 32);
-  EXPECT_EQ(WhyImpossible(Service(4, 2), TeamOf(8), types, 8192), "");
-  EXPECT_NE(WhyImpossible(Service(5, 2), TeamOf(8), types, 8192), "");
-  EXPECT_NE(WhyImpossible(Service(1, 9), TeamOf(0), types, 8192), "");
+  EXPECT_FALSE(WhyImpossible(Service(4, 2), TeamOf(8), types, 8192));
+  EXPECT_TRUE(WhyImpossible(Service(5, 2), TeamOf(8), types, 8192));
+  EXPECT_TRUE(WhyImpossible(Service(1, 9), TeamOf(0), types, 8192));
 }
 
 // An estimate of 0 must not make a service look as if it were done at once.
