--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -58,7 +58,7 @@
           CancellationWatermark(deployment_, deployment_.label, incarnation),
           StateLimits(deployment_)},
       ownership_(context_),
-      users_(context_) {}
+      job_requests_(context_) {}
 
 std::vector<Effect> Controller::Handle(Now now,
                                        std::span<const Command> commands) {
@@ -76,7 +76,7 @@
   FollowOwnership();
   StepPartitions();
   if (autoscaler_) autoscaler_->Step();
-  users_.Step();
+  job_requests_.Step();
   ExchangeHeartbeats();
   HandOverUnreachablePartitions();
   state_watcher_.Step();
@@ -244,10 +244,11 @@
 
 void Controller::ExchangeHeartbeats() {
   SteadyTime now = out_.now().steady;
-  bool urgent = users_.cancelled() != announced_cancellations_ &&
-                now - last_heartbeat_ >= kUrgentHeartbeatInterval;
+  bool urgent =
+      job_requests_.cancellations_stored() != announced_cancellations_ &&
+      now - last_heartbeat_ >= kUrgentHeartbeatInterval;
   if (now < next_heartbeat_ && !urgent) return;
-  announced_cancellations_ = users_.cancelled();
+  announced_cancellations_ = job_requests_.cancellations_stored();
   double passed = std::max(0.1, ToSeconds(now - last_heartbeat_));
   last_heartbeat_ = now;
   next_heartbeat_ = now + kHeartbeatInterval;
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "core/autoscaler/autoscaler.h"
-#include "core/jobs/users.h"
+#include "core/jobs/job_requests.h"
 #include "core/membership/ownership.h"
 #include "core/partition/partition.h"
 #include "core/state/context.h"
@@ -37,11 +37,13 @@
   };
 
   void On(const SubmitJob& command) {
-    users_.Submit(command.request, command.spec);
+    job_requests_.Submit(command.request, command.spec);
+  }
+  void On(const PollJob& command) {
+    job_requests_.Poll(command.request, command.job);
   }
-  void On(const PollJob& command) { users_.Poll(command.request, command.job); }
   void On(const CancelJob& command) {
-    users_.Cancel(command.request, command.job);
+    job_requests_.Cancel(command.request, command.job);
   }
   void On(const HealthCheck& command);
   void On(const ReceiveWorkerHeartbeat& command);
@@ -77,7 +79,7 @@
   StateWatcher state_watcher_;
   Context context_;
   Ownership ownership_;
-  Users users_;
+  JobRequests job_requests_;
   std::map<uint32_t, std::unique_ptr<Partition>> partitions_;
   std::optional<Autoscaler> autoscaler_;
   std::map<std::string, Peer> peers_;
--- /dev/null
+++ b/src/core/jobs/job_change_queue.cc
@@ -0,0 +1,274 @@
+#include "core/jobs/job_change_queue.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "core/model/http_status.h"
+#include "core/model/job.h"
+#include "core/model/limits.h"
+
+namespace pitchfall {
+namespace {
+
+// A change that could not be stored within this time is handed back to its
+// client, which gives up waiting after five seconds.
+constexpr Duration kMaxQueueTime = Millis(2500);
+
+// Between a stored batch and the next, so that changes gather into one.
+constexpr Duration kStoreInterval = Millis(15);
+// After the state service said that the shared rate is used up.
+constexpr Duration kRateLimitedDelay = Millis(100);
+// After a refusal or no answer: the state service is in trouble.
+constexpr Duration kFailureDelay = Millis(200);
+
+// Starts and results of tasks come first, but they use up whatever there is of
+// the write budget. After so long a submission takes a token that the next of
+// them will have to wait for.
+constexpr Duration kSubmissionPatience = Millis(40);
+// How far below zero a change may take the write budget. Cancellations may do
+// so at once.
+constexpr double kMaxSubmissionDebt = 2;
+constexpr double kMaxCancellationDebt = 2;
+// As a reserve: the request has been decided on, and its token is taken however
+// far below zero that leads.
+constexpr double kUnlimitedDebt = 1e9;
+
+// Submissions are queued up to what is stored in so many seconds at the present
+// rate, and a few whatever the rate.
+constexpr double kMaxQueueSeconds = 1.5;
+constexpr double kMinQueueCapacity = 4;
+
+// What a refused client waits: the time by which the queue will have been
+// worked off, within these bounds. A rate that is nearly zero for a moment must
+// not send it away for long.
+constexpr double kMinDrainRate = 0.5;  // changes a second
+constexpr double kMinRetrySeconds = 1;
+constexpr double kMaxRetrySeconds = 20;
+// The same after a transaction that was refused or whose outcome is unknown: a
+// read that shows what became of it takes less, unless the trouble goes on.
+constexpr Duration kRetryAfterUnknownOutcome = Millis(1000);
+
+// Each change is one condition and one write.
+constexpr size_t kOperationsPerChange = 2;
+// As a condition: the key must not exist yet.
+constexpr uint64_t kAbsent = 0;
+
+}  // namespace
+
+void JobChangeQueue::Submit(RequestId request, const JobSpec& spec) {
+  PendingChange change;
+  change.kind = Kind::kSubmission;
+  change.job = spec.id;
+  change.spec = spec;
+  change.requests.push_back(request);
+  change.since = out_.now().steady;
+  Enqueue(std::move(change));
+}
+
+void JobChangeQueue::Cancel(RequestId request, const std::string& job) {
+  PendingChange change;
+  change.kind = Kind::kCancellation;
+  change.job = job;
+  change.requests.push_back(request);
+  change.since = out_.now().steady;
+  Enqueue(std::move(change));
+}
+
+void JobChangeQueue::Step() {
+  RefuseOverdue();
+  StoreNextBatch();
+}
+
+void JobChangeQueue::Enqueue(PendingChange change) {
+  if (JoinWaiting(change)) return;
+  if (change.kind == Kind::kCancellation) {
+    queue_.push_front(std::move(change));
+    return;
+  }
+  // More than can be stored in time is sent away at once, with the time by
+  // which the queue will have been worked off.
+  double waiting = static_cast<double>(queue_.size());
+  double capacity =
+      std::max(kMinQueueCapacity, state_.writes.rate() * kMaxQueueSeconds);
+  if (waiting >= capacity) {
+    Refuse(change, RetryAfter());
+    return;
+  }
+  queue_.push_back(std::move(change));
+}
+
+// Repeated requests for the same change are stored once and answered together.
+bool JobChangeQueue::JoinWaiting(const PendingChange& change) {
+  for (PendingChange& waiting : queue_) {
+    if (waiting.job != change.job || waiting.kind != change.kind) continue;
+    waiting.requests.insert(waiting.requests.end(), change.requests.begin(),
+                            change.requests.end());
+    return true;
+  }
+  return false;
+}
+
+void JobChangeQueue::RefuseOverdue() {
+  SteadyTime now = out_.now().steady;
+  std::erase_if(queue_, [&](const PendingChange& change) {
+    if (now - change.since < kMaxQueueTime) return false;
+    Refuse(change, RetryAfter());
+    return true;
+  });
+}
+
+void JobChangeQueue::StoreNextBatch() {
+  SteadyTime now = out_.now().steady;
+  if (storing_ || queue_.empty() || now < next_store_) return;
+  Batch batch = TakeBatch(now);
+  if (batch.changes.empty()) return;
+  state_.requests.Take(now, 1, -kUnlimitedDebt);
+  storing_ = true;
+  Transaction transaction = batch.transaction;
+  auto handler = [this,
+                  batch = std::move(batch)](const StateReply& reply) mutable {
+    OnReply(std::move(batch), reply);
+  };
+  out_.CallState(std::move(transaction), tuning_.state_timeout,
+                 std::move(handler));
+}
+
+// Takes changes off the queue until a limit of the state service or the write
+// budget is reached, and answers those with nothing left to store.
+JobChangeQueue::Batch JobChangeQueue::TakeBatch(SteadyTime now) {
+  double submission_reserve = SubmissionReserve(now);
+  Batch batch;
+  size_t bytes = 0;
+  while (!queue_.empty() &&
+         batch.changes.size() < state_.state_limits.Operations()) {
+    PendingChange& change = queue_.front();
+    if (Superseded(change)) {
+      for (RequestId request : change.requests) {
+        queries_.Answer(request, change.job, TaskCounts::kOmit);
+      }
+      queue_.pop_front();
+      continue;
+    }
+    bytes += TransactionBytes(change);
+    if (!batch.changes.empty() && bytes > kTransactionBytes) break;
+    if (!TakeWrite(change, submission_reserve, now)) break;
+    AddTo(batch.transaction, change);
+    batch.changes.push_back(std::move(change));
+    queue_.pop_front();
+  }
+  return batch;
+}
+
+bool JobChangeQueue::Superseded(const PendingChange& change) const {
+  const Job* job = state_.state_cache.FindJob(change.job);
+  if (job == nullptr) return false;
+  return job->record.final() || change.kind == Kind::kSubmission;
+}
+
+size_t JobChangeQueue::TransactionBytes(const PendingChange& change) const {
+  const JobSpec& spec = change.kind == Kind::kCancellation
+                            ? state_.state_cache.FindJob(change.job)->spec()
+                            : change.spec;
+  return MaxRecordBytes(spec) + kOperationsPerChange * kOperationBytes;
+}
+
+bool JobChangeQueue::TakeWrite(const PendingChange& change,
+                               double submission_reserve, SteadyTime now) {
+  double reserve = change.kind == Kind::kCancellation ? -kMaxCancellationDebt
+                                                      : submission_reserve;
+  return state_.writes.Take(now, 1, reserve);
+}
+
+// The reserve of write tokens that submissions leave; negative once the newest
+// of them has waited long enough to take tokens in advance.
+double JobChangeQueue::SubmissionReserve(SteadyTime now) const {
+  bool patient = now - queue_.back().since < kSubmissionPatience;
+  return patient ? 0 : -kMaxSubmissionDebt;
+}
+
+void JobChangeQueue::AddTo(Transaction& transaction,
+                           const PendingChange& change) {
+  std::string key = keys::Job(change.job);
+  if (change.kind == Kind::kSubmission) {
+    transaction.conditions.push_back({key, kAbsent});
+    transaction.writes.push_back({key, admission_.FirstRecord(change.spec)});
+    return;
+  }
+  const Job* job = state_.state_cache.FindJob(change.job);
+  transaction.conditions.push_back({key, job->mod_revision});
+  transaction.writes.push_back(
+      {key, FinalRecord(job->record, JobState::kCancelled,
+                        state_.state_limits.ValueBytes())});
+}
+
+void JobChangeQueue::OnReply(Batch batch, const StateReply& reply) {
+  storing_ = false;
+  SteadyTime now = out_.now().steady;
+  next_store_ = now + kStoreInterval;
+  switch (reply.status) {
+    case http_status::kOk:
+      OnStored(batch, reply.revision);
+      return;
+    case http_status::kTooManyRequests:
+      state_.writes.Drain(now);
+      next_store_ = now + kRateLimitedDelay;
+      Requeue(std::move(batch.changes));
+      return;
+    case http_status::kConflict:
+      // Another controller has changed one of the jobs: read, then try again.
+      state_.state_watcher.AfterNextRead(
+          [this, changes = std::move(batch.changes)](bool) {
+            Requeue(changes);
+          });
+      return;
+    default:
+      break;
+  }
+  // Refused, or no answer: then the outcome is unknown, and a late copy may
+  // still be carried out. A job's key is only ever created once, so that the
+  // client's next try finds out.
+  state_.state_watcher.RequestRead();
+  next_store_ = now + kFailureDelay;
+  for (const PendingChange& change : batch.changes) {
+    Refuse(change, kRetryAfterUnknownOutcome);
+  }
+}
+
+void JobChangeQueue::OnStored(const Batch& batch, uint64_t revision) {
+  for (const Write& write : batch.transaction.writes) {
+    state_.state_cache.Apply({write.key, write.value, revision});
+  }
+  for (const PendingChange& change : batch.changes) Acknowledge(change);
+}
+
+void JobChangeQueue::Acknowledge(const PendingChange& change) {
+  bool cancelled = change.kind == Kind::kCancellation;
+  if (cancelled) ++cancellations_stored_;
+  JobAnswer answer;
+  answer.id = change.job;
+  answer.status =
+      cancelled ? JobAnswer::Status::kCancelled : JobAnswer::Status::kQueued;
+  int status = cancelled ? http_status::kOk : http_status::kCreated;
+  for (RequestId request : change.requests) {
+    out_.Answer(request, status, answer);
+  }
+}
+
+// Puts the changes back to the front, the last of them first. They keep the
+// time since when they wait.
+void JobChangeQueue::Requeue(std::vector<PendingChange> changes) {
+  for (PendingChange& change : changes) queue_.push_front(std::move(change));
+}
+
+void JobChangeQueue::Refuse(const PendingChange& change, Duration retry_after) {
+  for (RequestId request : change.requests) out_.Refuse(request, retry_after);
+}
+
+Duration JobChangeQueue::RetryAfter() const {
+  double rate = std::max(kMinDrainRate, state_.writes.rate());
+  double seconds = std::ceil(static_cast<double>(queue_.size()) / rate);
+  return Seconds(std::clamp(seconds, kMinRetrySeconds, kMaxRetrySeconds));
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/jobs/job_queries.cc
@@ -0,0 +1,91 @@
+#include "core/jobs/job_queries.h"
+
+#include <utility>
+
+#include "core/jobs/client_answers.h"
+#include "core/model/http_status.h"
+
+namespace pitchfall {
+namespace {
+
+// Clients wait two seconds for the answer to a poll; the rest is for the
+// answer's way back.
+constexpr Duration kMaxQueryWait = Millis(1500);
+// Bounds the memory and the burst of answers after a slow read.
+constexpr size_t kMaxWaitingQueries = 2000;
+
+}  // namespace
+
+void JobQueries::Answer(RequestId request, const std::string& id,
+                        TaskCounts counts) {
+  const Job* job = state_cache_.FindJob(id);
+  if (job != nullptr && job->record.final()) {
+    AnswerWith(request, *job, counts);
+    return;
+  }
+  if (waiting_.size() >= kMaxWaitingQueries) {
+    out_.Refuse(request, kRetryAfterStateUnreadable);
+    return;
+  }
+  waiting_.push_back({request, id, counts, out_.now().steady});
+}
+
+void JobQueries::Step() {
+  if (waiting_.empty()) return;
+  // A state service that does not answer must not keep clients waiting.
+  if (!state_watcher_.Fresh()) {
+    RefuseAll();
+    return;
+  }
+  RefuseOverdue();
+  if (reading_ || waiting_.empty()) return;
+  StartRead();
+}
+
+void JobQueries::RefuseAll() {
+  for (const WaitingQuery& query : std::exchange(waiting_, {})) {
+    out_.Refuse(query.request, kRetryAfterStateUnreadable);
+  }
+}
+
+void JobQueries::RefuseOverdue() {
+  SteadyTime now = out_.now().steady;
+  std::erase_if(waiting_, [&](const WaitingQuery& query) {
+    if (now - query.since < kMaxQueryWait) return false;
+    out_.Refuse(query.request, kRetryAfterStateUnreadable);
+    return true;
+  });
+}
+
+void JobQueries::StartRead() {
+  reading_ = true;
+  state_watcher_.AfterNextRead(
+      [this, queries = std::exchange(waiting_, {})](bool read_succeeded) {
+        reading_ = false;
+        for (const WaitingQuery& query : queries) {
+          AnswerFromCache(query, read_succeeded);
+        }
+      });
+}
+
+void JobQueries::AnswerFromCache(const WaitingQuery& query,
+                                 bool read_succeeded) {
+  if (!read_succeeded) {
+    out_.Refuse(query.request, kRetryAfterStateUnreadable);
+    return;
+  }
+  const Job* job = state_cache_.FindJob(query.job);
+  if (job == nullptr) {
+    out_.Answer(query.request, http_status::kNotFound, Problem{kNoSuchJob});
+    return;
+  }
+  AnswerWith(query.request, *job, query.counts);
+}
+
+void JobQueries::AnswerWith(RequestId request, const Job& job,
+                            TaskCounts counts) {
+  out_.Answer(request, http_status::kOk,
+              Describe(job, counts == TaskCounts::kInclude));
+}
+
+}  // namespace pitchfall
--- /dev/null
+++ b/src/core/jobs/job_requests.cc
@@ -0,0 +1,86 @@
+#include "core/jobs/job_requests.h"
+
+#include <variant>
+
+#include "core/jobs/client_answers.h"
+#include "core/model/http_status.h"
+#include "core/model/job.h"
+
+namespace pitchfall {
+
+JobRequests::JobRequests(Context& context)
+    : out_(context.out),
+      state_cache_(context.state_cache),
+      state_watcher_(context.state_watcher),
+      queries_(context.out, context.state_cache, context.state_watcher),
+      admission_(context.deployment, context.tuning, context.out,
+                 context.state_cache, context.state_watcher,
+                 context.state_limits, context.capacity_table,
+                 context.partition_count),
+      changes_(
+          context.tuning, context.out,
+          StateAccess{context.state_cache, context.state_watcher,
+                      context.requests, context.writes, context.state_limits},
+          admission_, queries_) {}
+
+void JobRequests::Submit(RequestId request, const JobSpec& spec) {
+  if (state_cache_.FindJob(spec.id) != nullptr) {
+    queries_.Answer(request, spec.id, TaskCounts::kOmit);
+    return;
+  }
+  AdmissionDecision decision = admission_.Check(spec);
+  if (const auto* rejection = std::get_if<Rejection>(&decision)) {
+    out_.Answer(request, http_status::kUnprocessableContent,
+                Problem{rejection->message});
+    return;
+  }
+  if (const auto* later = std::get_if<RetryLater>(&decision)) {
+    out_.Refuse(request, later->retry_after);
+    return;
+  }
+  changes_.Submit(request, spec);
+}
+
+void JobRequests::Poll(RequestId request, const std::string& id) {
+  queries_.Answer(request, id, TaskCounts::kInclude);
+}
+
+void JobRequests::Cancel(RequestId request, const std::string& id) {
+  const Job* job = state_cache_.FindJob(id);
+  if (job != nullptr && job->record.final()) {
+    queries_.Answer(request, id, TaskCounts::kOmit);
+    return;
+  }
+  if (!state_watcher_.Fresh()) {
+    out_.Refuse(request, kRetryAfterStateUnreadable);
+    return;
+  }
+  if (job == nullptr) {
+    CancelAfterNextRead(request, id);
+    return;
+  }
+  changes_.Cancel(request, id);
+}
+
+// Another controller may have stored the job a moment ago.
+void JobRequests::CancelAfterNextRead(RequestId request,
+                                      const std::string& id) {
+  state_watcher_.AfterNextRead([this, request, id](bool read_succeeded) {
+    if (!read_succeeded) {
+      out_.Refuse(request, kRetryAfterStateUnreadable);
+      return;
+    }
+    if (state_cache_.FindJob(id) == nullptr) {
+      out_.Answer(request, http_status::kNotFound, Problem{kNoSuchJob});
+      return;
+    }
+    changes_.Cancel(request, id);
+  });
+}
+
+void JobRequests::Step() {
+  queries_.Step();
+  changes_.Step();
+}
+
+}  // namespace pitchfall
