--- a/tests/jobs_test.cc
+++ b/tests/jobs_test.cc
@@ -13,7 +13,9 @@
 #include "core/jobs/job_admission.h"
 #include "core/jobs/job_change_queue.h"
 #include "core/jobs/job_queries.h"
+#include "core/jobs/job_requests.h"
 #include "core/model/http_status.h"
+#include "core/state/context.h"
 
 namespace pitchfall {
 namespace {
@@ -452,6 +454,27 @@
             Seconds(2));  // one change at half a change a second
 }
 
+// Starts of tasks would otherwise use up the write budget for good.
+TEST_F(JobChangeQueueTest, ASubmissionTakesAWriteInAdvanceAfterAWhile) {
+  writes_.SetRate(0, 0);
+  queue_.Submit(1, ArrayJob(kJob));
+  Advance(Millis(39));
+  queue_.Step();
+  CollectEffects();
+  EXPECT_TRUE(calls_.empty());
+  Advance(Millis(1));
+  queue_.Step();
+  EXPECT_EQ(SentTransaction().writes.size(), 1u);
+}
+
+TEST_F(JobChangeQueueTest, ACancellationTakesAWriteInAdvanceAtOnce) {
+  state_cache_.Apply(StoredJob(ArrayJob(kJob)));
+  writes_.SetRate(0, 0);
+  queue_.Cancel(1, kJob);
+  queue_.Step();
+  EXPECT_EQ(SentTransaction().writes.size(), 1u);
+}
+
 TEST_F(JobChangeQueueTest, RefusesASubmissionThatTheQueueHasNoCapacityFor) {
   writes_.SetRate(0, 0);
   for (RequestId request = 1; request <= 5; ++request) {
@@ -471,5 +494,85 @@
   EXPECT_EQ(SentTransaction().writes.size(), operations);
 }
 
+// ---- Requests ----
+
+class JobRequestsTest : public JobsTest {
+ protected:
+  TokenBucket cloud_{4, 4};
+  Context context_{deployment_,
+                   tuning_,
+                   out_,
+                   state_cache_,
+                   watcher_,
+                   requests_,
+                   writes_,
+                   cloud_,
+                   "1",
+                   kPartitionCount,
+                   CapacityTable(kPartitionCount),
+                   CancellationWatermark(deployment_, "n1", "1"),
+                   StateLimits(deployment_)};
+  JobRequests job_requests_{context_};
+};
+
+TEST_F(JobRequestsTest, AnswersARejectedSubmissionWithTheReason) {
+  job_requests_.Submit(1, ArrayJob(kJob, 1, 9));
+  ASSERT_EQ(StatusOf(1), http_status::kUnprocessableContent);
+  EXPECT_EQ(std::get<Problem>(replies_.at(1).body).message,
+            "a task fits no machine type that the job allows");
+  EXPECT_FALSE(RetryAfterOf(1));
+}
+
+TEST_F(JobRequestsTest, SubmissionsAreIdempotent) {
+  job_requests_.Submit(1, ArrayJob(kJob));
+  job_requests_.Step();
+  AnswerState(http_status::kOk);
+  ASSERT_EQ(StatusOf(1), http_status::kCreated);
+  job_requests_.Submit(2, ArrayJob(kJob));
+  job_requests_.Step();
+  EXPECT_TRUE(calls_.empty());
+  Read(http_status::kOk);
+  EXPECT_EQ(StatusOf(2), http_status::kOk);
+}
+
+TEST_F(JobRequestsTest, CancelsAJobThatOnlyTheNextReadShows) {
+  job_requests_.Cancel(1, kJob);
+  Read(http_status::kOk, {StoredJob(ArrayJob(kJob))});
+  EXPECT_EQ(StatusOf(1), http_status::kNoAnswer);
+  job_requests_.Step();
+  AnswerState(http_status::kOk);
+  EXPECT_EQ(StatusOf(1), http_status::kOk);
+  EXPECT_EQ(job_requests_.cancellations_stored(), 1u);
+}
+
+TEST_F(JobRequestsTest, CannotCancelAJobThatWasNeverSubmitted) {
+  job_requests_.Cancel(1, kJob);
+  EXPECT_EQ(StatusOf(1), http_status::kNoAnswer);
+  Read(http_status::kOk);
+  ASSERT_EQ(StatusOf(1), http_status::kNotFound);
+  EXPECT_EQ(std::get<Problem>(replies_.at(1).body).message, "no such job");
+}
+
+TEST_F(JobRequestsTest, RefusesCancellationsWhileTheStateIsStale) {
+  state_cache_.Apply(StoredJob(ArrayJob(kJob)));
+  Advance(Seconds(3));
+  job_requests_.Cancel(1, kJob);
+  EXPECT_EQ(StatusOf(1), http_status::kServiceUnavailable);
+  EXPECT_EQ(RetryAfterOf(1), Millis(2000));
+}
+
+TEST_F(JobRequestsTest, AFinalJobIsAnsweredAtOnceWhateverIsAsked) {
+  state_cache_.Apply(StoredJob(ArrayJob(kJob), JobState::kDone));
+  job_requests_.Submit(1, ArrayJob(kJob));
+  job_requests_.Poll(2, kJob);
+  job_requests_.Cancel(3, kJob);
+  for (RequestId request : {1, 2, 3}) {
+    ASSERT_EQ(StatusOf(request), http_status::kOk);
+    const auto& answer = std::get<JobAnswer>(replies_.at(request).body);
+    EXPECT_EQ(answer.status, JobAnswer::Status::kDone);
+    EXPECT_EQ(answer.counts, request == 2);
+  }
+}
+
 }  // namespace
 }  // namespace pitchfall
