--- a/src/core/jobs/job_change_queue.h
+++ b/src/core/jobs/job_change_queue.h
@@ -99,8 +99,10 @@
   StateAccess state_;
   JobAdmission& admission_;
   JobQueries& queries_;
-  std::deque<PendingChange> queue_;  // cancellations first
-  bool storing_ = false;             // a transaction is under way
+  // Cancellations first, except that a batch to be tried again comes before all
+  // others and in reverse order.
+  std::deque<PendingChange> queue_;
+  bool storing_ = false;  // a transaction is under way
   SteadyTime next_store_{};
   uint64_t cancellations_stored_ = 0;
 };
