--- a/src/core/membership/fencing_token_announcer.h
+++ b/src/core/membership/fencing_token_announcer.h
@@ -57,4 +57,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_TOKEN_ANNOUNCER_H_
+#endif  // PITCHFALL_CORE_MEMBERSHIP_FENCING_TOKEN_ANNOUNCER_H_
--- a/src/core/state/cancellation_watermark.h
+++ b/src/core/state/cancellation_watermark.h
@@ -49,4 +49,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_VOUCHERS_H_
+#endif  // PITCHFALL_CORE_STATE_CANCELLATION_WATERMARK_H_
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -45,4 +45,4 @@
 
 }  // namespace pitchfall::io
 
-#endif  // PITCHFALL_IO_FRONT_H_
+#endif  // PITCHFALL_IO_HTTP_SERVER_H_
--- a/tests/sim/cluster_simulation.h
+++ b/tests/sim/cluster_simulation.h
@@ -395,4 +395,4 @@
 
 }  // namespace pitchfall::sim
 
-#endif  // PITCHFALL_TESTS_SIM_WORLD_H_
+#endif  // PITCHFALL_TESTS_SIM_CLUSTER_SIMULATION_H_
