--- a/src/core/membership/fencing_token_announcer.cc
+++ b/src/core/membership/fencing_token_announcer.cc
@@ -7,10 +7,12 @@
 namespace pitchfall {
 namespace {
 
-constexpr Duration kCommandTimeout = Millis(2000);
+constexpr Duration kWorkerCallTimeout = Millis(2000);
 // Workers whose owner is gone come by themselves within a few seconds.
-constexpr Duration kFirstPageAfter = Millis(1000);
+constexpr Duration kFirstPageDelay = Millis(1000);
 constexpr Duration kPageInterval = Millis(2500);
+// After the last page the list begins anew, until this many have been asked
+// for.
 constexpr int kMaxPages = 6;
 // Calls to workers at the same time: after a takeover there may be thousands of
 // workers, and most come by themselves before their turn.
@@ -25,7 +27,7 @@
       partition_(partition),
       fencing_token_(fencing_token),
       has_seen_fencing_token_(std::move(has_seen_fencing_token)),
-      next_page_(context.now() + kFirstPageAfter) {}
+      next_page_(context.now() + kFirstPageDelay) {}
 
 void FencingTokenAnnouncer::Step() {
   CallWaitingWorkers();
@@ -33,7 +35,7 @@
 }
 
 // One page at a time, each for a token of the cloud's rate: pages on
-// credit kept the leader from renting after restarts.
+// credit kept the leader from scaling out after restarts.
 void FencingTokenAnnouncer::FetchNextPage() {
   SteadyTime now = context_.now();
   if (fetching_ || pages_asked_for_ >= kMaxPages || now < next_page_) return;
@@ -75,7 +77,7 @@
 void FencingTokenAnnouncer::Inspect(const ListedMachine& listed) {
   ++inspecting_;
   context_.out.CallWorker(
-      listed.address, InspectWorker{}, kCommandTimeout,
+      listed.address, InspectWorker{}, kWorkerCallTimeout,
       [this, listed,
        alive = std::weak_ptr<int>(alive_)](const WorkerReply& reply) {
         if (alive.expired()) return;
@@ -94,7 +96,7 @@
                    partition_, listed.name, fencing_token_);
   context_.out.CallWorker(listed.address,
                           CommandWorker{fencing_token_, agent_epoch, {}},
-                          kCommandTimeout, [](const WorkerReply&) {});
+                          kWorkerCallTimeout, [](const WorkerReply&) {});
 }
 
 }  // namespace pitchfall
--- a/src/core/membership/fencing_token_announcer.h
+++ b/src/core/membership/fencing_token_announcer.h
@@ -21,6 +21,9 @@
 
 namespace pitchfall {
 
+// Belongs to one ownership of one partition and ends with it. Replies that come
+// later have no effect. A call to a worker that fails is repeated only if the
+// list of machines, begun anew, names the worker again.
 class FencingTokenAnnouncer {
  public:
   // `has_seen_fencing_token` tells whether the machine of that name has shown
@@ -57,4 +60,4 @@
 
 }  // namespace pitchfall
 
-#endif  // PITCHFALL_CORE_TOKEN_ANNOUNCER_H_
+#endif  // PITCHFALL_CORE_MEMBERSHIP_FENCING_TOKEN_ANNOUNCER_H_
