--- a/src/core/base/token_bucket.h
+++ b/src/core/base/token_bucket.h
@@ -8,8 +8,11 @@
 
 namespace pitchfall {
 
+// Refills continuously up to its burst. The balance may be negative: work that
+// must not wait is counted all the same, and what can wait then waits longer.
 class TokenBucket {
  public:
+  // Starts full. `per_second` is the refill rate, `burst` the largest balance.
   TokenBucket(double per_second, double burst)
       : rate_(per_second), burst_(burst), tokens_(burst) {}
 
@@ -20,6 +23,7 @@
     tokens_ = std::min(tokens_, burst_);
   }
 
+  // The balance at `now`; negative while the bucket is in debt.
   double Available(SteadyTime now) {
     if (now > last_) {
       tokens_ = std::min(burst_, tokens_ + rate_ * ToSeconds(now - last_));
@@ -28,7 +32,8 @@
     return tokens_;
   }
 
-  // Takes `count` tokens if there are that many above `reserve`.
+  // Takes `count` tokens if there are that many above `reserve`; otherwise
+  // takes none and returns false.
   bool Take(SteadyTime now, double count, double reserve = 0) {
     if (Available(now) < count + reserve) return false;
     tokens_ -= count;
@@ -36,12 +41,21 @@
     return true;
   }
 
+  // Takes `count` tokens whatever the balance, going into debt if need be: for
+  // calls that must be sent at once and still count against the rate.
+  void TakeOnCredit(SteadyTime now, double count) {
+    Available(now);
+    tokens_ -= count;
+    taken_ += count;
+  }
+
   // The service said 429: others have used the rate up.
   void Drain(SteadyTime now) {
     Available(now);
     tokens_ = std::min(tokens_, 0.0);
   }
 
+  // Tokens a second.
   double rate() const { return rate_; }
   // All that has ever been taken.
   double taken() const { return taken_; }
--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -338,7 +338,7 @@
           peer.heartbeat.misrouted_workers[number] == 0) {
         continue;
       }
-      ownership_.HandOver(number, label, true);
+      ownership_.HandOver(number, label, HandoverReason::kUnreachable);
       break;
     }
   }
--- /dev/null
+++ b/src/core/membership/node_registration.cc
@@ -0,0 +1,90 @@
+#include "core/membership/node_registration.h"
+
+#include <utility>
+
+namespace pitchfall {
+namespace {
+
+// A lease is renewed when this fraction of its time to live has passed, and a
+// renewal waits as long for its answer: several attempts may fail before the
+// lease expires.
+constexpr int kRenewalsPerTtl = 4;
+// Long enough not to flood a state service that refuses calls, short enough for
+// several attempts within the shortest lease.
+constexpr Duration kGrantRetryDelay = Millis(200);
+constexpr Duration kRenewRetryDelay = Millis(150);
+constexpr Duration kRegisterRetryDelay = Millis(200);
+
+}  // namespace
+
+void NodeRegistration::KeepLease() {
+  SteadyTime now = context_.now();
+  if (lease_call_in_flight_ || now < next_lease_call_) return;
+  // On credit: a controller whose renewal waited for the budget would lose its
+  // lease, and with it its partitions, because of its own other calls.
+  context_.requests.TakeOnCredit(now, 1);
+  lease_call_in_flight_ = true;
+  if (lease_ == 0) {
+    GrantLease();
+  } else {
+    RenewLease();
+  }
+}
+
+void NodeRegistration::GrantLease() {
+  Duration ttl = context_.tuning.node_lease;
+  context_.out.CallState(
+      Grant{ttl}, context_.tuning.state_timeout,
+      [this, ttl](const StateReply& reply) {
+        lease_call_in_flight_ = false;
+        bool granted = reply.status == 200 && reply.lease != 0;
+        if (granted) lease_ = reply.lease;
+        next_lease_call_ = context_.now() +
+                           (granted ? ttl / kRenewalsPerTtl : kGrantRetryDelay);
+      });
+}
+
+void NodeRegistration::RenewLease() {
+  Duration interval = context_.tuning.node_lease / kRenewalsPerTtl;
+  context_.out.CallState(
+      Renew{lease_}, interval, [this, interval](const StateReply& reply) {
+        lease_call_in_flight_ = false;
+        if (reply.status == 404) lease_ = 0;
+        bool renewed = reply.status == 200;
+        next_lease_call_ =
+            context_.now() + (renewed ? interval : kRenewRetryDelay);
+      });
+}
+
+void NodeRegistration::Register() {
+  const auto& nodes = context_.state_cache.nodes();
+  if (nodes.contains(context_.deployment.label + "." + context_.incarnation)) {
+    if (!registered_at_) registered_at_ = context_.now();
+    return;
+  }
+  registered_at_.reset();
+  if (lease_ == 0 || write_in_flight_ || context_.now() < next_write_) return;
+  WriteNodeKey();
+}
+
+void NodeRegistration::WriteNodeKey() {
+  SteadyTime now = context_.now();
+  context_.writes.TakeOnCredit(now, 1);
+  context_.requests.TakeOnCredit(now, 1);
+  write_in_flight_ = true;
+  const std::string& label = context_.deployment.label;
+  std::string key = keys::Node(label, context_.incarnation);
+  Transaction txn;
+  txn.conditions.push_back({key, 0});
+  txn.writes.push_back(
+      {key, NodeRecord{label, context_.incarnation, kThisVersion}, lease_});
+  context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
+                         [this](const StateReply& reply) {
+                           write_in_flight_ = false;
+                           next_write_ = context_.now() + kRegisterRetryDelay;
+                           if (reply.no_lease) lease_ = 0;
+                           context_.state_watcher.RequestRead();
+                         });
+}
+
+}  // namespace pitchfall
--- a/src/core/membership/ownership.cc
+++ b/src/core/membership/ownership.cc
@@ -1,80 +1,40 @@
 #include "core/membership/ownership.h"
 
 #include <algorithm>
+#include <string_view>
 #include <utility>
+#include <vector>
 
 #include "core/base/rendezvous_hash.h"
 
 namespace pitchfall {
 namespace {
 
+// A controller whose workers could not reach it does not get the partition back
+// sooner: if they still cannot, each return costs them another search.
 constexpr Duration kUnreachableOwnerDelay = Millis(60000);
+// How long a controller that is not the preferred owner leaves a vacant
+// partition to the one that is, which takes it over without delay.
+constexpr Duration kTakeOverDelay = Millis(1000);
+// The same for a partition that never had an owner: at the very start the
+// others may be up within moments.
+constexpr Duration kFirstTakeOverDelay = Millis(1500);
+
+std::string_view ToString(HandoverReason reason) {
+  return reason == HandoverReason::kUnreachable ? "unreachable" : "balance";
+}
 
 }  // namespace
 
 void Ownership::Step() {
-  KeepLease();
+  registration_.KeepLease();
   if (!context_.state_watcher.Fresh()) return;
-  Register();
+  registration_.Register();
   TrackNodes();
   for (uint32_t partition = 0; partition < context_.partition_count;
-       ++partition)
+       ++partition) {
     ReconcilePartition(partition);
-}
-
-void Ownership::KeepLease() {
-  SteadyTime now = context_.now();
-  if (asking_lease_ || now < next_lease_call_) return;
-  // Leases come before everything else: they are sent whatever the budget says,
-  // and counted.
-  context_.requests.Take(now, 1, -1e9);
-  asking_lease_ = true;
-  Duration ttl = context_.tuning.node_lease;
-  if (lease_ == 0) {
-    context_.out.CallState(Grant{ttl}, context_.tuning.state_timeout,
-                           [this, ttl](const StateReply& reply) {
-                             asking_lease_ = false;
-                             bool ok = reply.status == 200 && reply.lease != 0;
-                             if (ok) lease_ = reply.lease;
-                             next_lease_call_ =
-                                 context_.now() + (ok ? ttl / 4 : Millis(200));
-                           });
-    return;
   }
-  context_.out.CallState(
-      Renew{lease_}, ttl / 4, [this, ttl](const StateReply& reply) {
-        asking_lease_ = false;
-        if (reply.status == 404) lease_ = 0;
-        next_lease_call_ =
-            context_.now() + (reply.status == 200 ? ttl / 4 : Millis(150));
-      });
-}
-
-void Ownership::Register() {
-  const auto& nodes = context_.state_cache.nodes();
-  if (nodes.contains(context_.deployment.label + "." + context_.incarnation)) {
-    if (!registered_at_) registered_at_ = context_.now();
-    return;
-  }
-  registered_at_.reset();
-  SteadyTime now = context_.now();
-  if (lease_ == 0 || registering_ || now < next_register_) return;
-  context_.writes.Take(now, 1, -1e9);
-  context_.requests.Take(now, 1, -1e9);
-  registering_ = true;
-  Transaction txn;
-  txn.conditions.push_back({MyKey(), 0});
-  txn.writes.push_back({MyKey(),
-                        NodeRecord{context_.deployment.label,
-                                   context_.incarnation, kThisVersion},
-                        lease_});
-  context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
-                         [this](const StateReply& reply) {
-                           registering_ = false;
-                           next_register_ = context_.now() + Millis(200);
-                           if (reply.no_lease) lease_ = 0;
-                           context_.state_watcher.RequestRead();
-                         });
 }
 
 void Ownership::TrackNodes() {
@@ -87,18 +47,19 @@
   alive_since_ = std::move(alive);
 }
 
-const StateCache::Versioned<NodeRecord>* Ownership::FindNode(
+const Ownership::StoredNode* Ownership::FindNode(
     const std::string& label) const {
-  const StateCache::Versioned<NodeRecord>* newest = nullptr;
+  const StoredNode* newest = nullptr;
   for (const auto& [key, node] : context_.state_cache.nodes()) {
     if (node.value.label != label) continue;
-    if (newest == nullptr || node.mod_revision > newest->mod_revision)
+    if (newest == nullptr || node.mod_revision > newest->mod_revision) {
       newest = &node;
+    }
   }
   return newest;
 }
 
-std::string Ownership::IdealOwner(uint32_t partition) const {
+std::string Ownership::PreferredOwner(uint32_t partition) const {
   std::vector<std::string> labels{context_.deployment.label};
   for (const auto& peer : context_.deployment.peers) {
     labels.push_back(peer.label);
@@ -118,127 +79,150 @@
   return best;
 }
 
-Duration Ownership::TakeOverDelay(
-    uint32_t partition,
-    const StateCache::Versioned<PartitionRecord>* current) const {
-  const std::string& me = context_.deployment.label;
+bool Ownership::IsOwn(const StoredPartition* current) const {
+  return current != nullptr &&
+         current->value.incarnation == context_.incarnation;
+}
+
+bool Ownership::IsVacant(const StoredPartition* current) const {
+  if (current == nullptr) return true;
   // An earlier incarnation of this process is certainly dead: only one process
   // can hold this controller's addresses.
-  if (current != nullptr && current->value.label == me) return Duration(0);
-  if (IdealOwner(partition) == me) return Duration(0);
-  // At the very start the others may be up within moments.
-  return current == nullptr ? Millis(1500) : Millis(1000);
+  if (current->value.label == context_.deployment.label) return true;
+  return !context_.state_cache.NodeAlive(current->value);
+}
+
+Duration Ownership::TakeOverDelay(uint32_t partition,
+                                  const StoredPartition* current) const {
+  const std::string& own_label = context_.deployment.label;
+  bool earlier_incarnation =
+      current != nullptr && current->value.label == own_label;
+  if (earlier_incarnation || PreferredOwner(partition) == own_label) {
+    return Duration(0);
+  }
+  return current == nullptr ? kFirstTakeOverDelay : kTakeOverDelay;
 }
 
 void Ownership::ReconcilePartition(uint32_t partition) {
-  const StateCache::Versioned<PartitionRecord>* current =
+  const StoredPartition* current =
       context_.state_cache.FindPartition(partition);
-  const std::string& me = context_.deployment.label;
-  Vacancy& vacancy = vacancies_[partition];
+  if (IsOwn(current)) {
+    RebalanceOwned(partition, *current);
+  } else {
+    TakeOverIfVacant(partition, current);
+  }
+}
+
+void Ownership::RebalanceOwned(uint32_t partition,
+                               const StoredPartition& current) {
+  PartitionStatus& status = partitions_[partition];
   SteadyTime now = context_.now();
-  bool mine =
-      current != nullptr && current->value.incarnation == context_.incarnation;
-  if (mine) {
-    vacancy.since.reset();
-    if (vacancy.my_mod_revision != current->mod_revision) {
-      vacancy.my_mod_revision = current->mod_revision;
-      vacancy.mine_since = now;
-    }
-    std::string ideal = IdealOwner(partition);
-    auto alive = alive_since_.find(ideal);
-    if (ideal != me && alive != alive_since_.end() &&
-        now - alive->second >= context_.tuning.handover_after &&
-        (current->value.unreachable_owner != ideal ||
-         now - vacancy.mine_since >= kUnreachableOwnerDelay)) {
-      HandOver(partition, ideal, false);
-    }
+  status.vacant_since.reset();
+  if (status.own_mod_revision != current.mod_revision) {
+    status.own_mod_revision = current.mod_revision;
+    status.owned_since = now;
+  }
+  std::string preferred = PreferredOwner(partition);
+  if (preferred == context_.deployment.label) return;
+  // One that has just come may go again.
+  auto alive = alive_since_.find(preferred);
+  if (alive == alive_since_.end() ||
+      now - alive->second < context_.tuning.handover_after) {
+    return;
+  }
+  if (current.value.unreachable_owner == preferred &&
+      now - status.owned_since < kUnreachableOwnerDelay) {
     return;
   }
-  bool my_earlier_incarnation =
-      current != nullptr && current->value.label == me;
-  bool vacant = current == nullptr || my_earlier_incarnation ||
-                !context_.state_cache.NodeAlive(current->value);
-  if (!vacant || !registered_at_) {
-    vacancy.since.reset();
+  HandOver(partition, preferred, HandoverReason::kBalance);
+}
+
+void Ownership::TakeOverIfVacant(uint32_t partition,
+                                 const StoredPartition* current) {
+  PartitionStatus& status = partitions_[partition];
+  std::optional<SteadyTime> registered_at = registration_.registered_at();
+  // Without its node key this controller would count as dead, and the partition
+  // as vacant, at once.
+  if (!IsVacant(current) || !registered_at) {
+    status.vacant_since.reset();
     return;
   }
-  if (!vacancy.since) vacancy.since = now;
-  if (vacancy.asking) return;
-  SteadyTime from = std::max(*vacancy.since, *registered_at_);
-  if (now - from < TakeOverDelay(partition, current)) return;
+  SteadyTime now = context_.now();
+  if (!status.vacant_since) status.vacant_since = now;
+  if (status.change_in_flight) return;
+  SteadyTime since = std::max(*status.vacant_since, *registered_at);
+  if (now - since < TakeOverDelay(partition, current)) return;
   TakeOver(partition, current);
 }
 
-void Ownership::TakeOver(
-    uint32_t partition, const StateCache::Versioned<PartitionRecord>* current) {
+void Ownership::TakeOver(uint32_t partition, const StoredPartition* current) {
+  // On credit: no worker of the partition has an owner until this is stored.
   SteadyTime now = context_.now();
-  context_.writes.Take(now, 1, -1e9);
-  context_.requests.Take(now, 1, -1e9);
-  const std::string& me = context_.deployment.label;
+  context_.writes.TakeOnCredit(now, 1);
+  context_.requests.TakeOnCredit(now, 1);
+  const std::string& own_label = context_.deployment.label;
   Transaction txn;
   txn.conditions.push_back({keys::Partition(partition),
                             current == nullptr ? 0 : current->mod_revision});
-  if (current != nullptr && current->value.label != me) {
+  // Fails if the owner has registered again since the state was read.
+  if (current != nullptr && current->value.label != own_label) {
     txn.conditions.push_back(
         {keys::Node(current->value.label, current->value.incarnation), 0});
   }
-  txn.writes.push_back(
-      {keys::Partition(partition), PartitionRecord{me, context_.incarnation}});
-  vacancies_[partition].asking = true;
+  txn.writes.push_back({keys::Partition(partition),
+                        PartitionRecord{own_label, context_.incarnation}});
   context_.out.Log(LogLevel::kInfo, "event=takeover_asked partition={} from={}",
                    partition,
                    current == nullptr ? "nobody" : current->value.label);
-  context_.out.CallState(
-      std::move(txn), context_.tuning.state_timeout,
-      [this, partition](const StateReply&) {
-        // Whatever the answer, or without one: the next
-        // reading shows who owns the partition now.
-        context_.state_watcher.AfterNextRead(
-            [this, partition](bool) { vacancies_[partition].asking = false; });
-      });
+  StoreOwner(partition, std::move(txn));
 }
 
 void Ownership::HandOver(uint32_t partition, const std::string& label,
-                         bool unreachable) {
-  const StateCache::Versioned<PartitionRecord>* current =
+                         HandoverReason reason) {
+  const StoredPartition* current =
       context_.state_cache.FindPartition(partition);
-  const StateCache::Versioned<NodeRecord>* node = FindNode(label);
-  Vacancy& vacancy = vacancies_[partition];
-  if (current == nullptr || current->value.incarnation != context_.incarnation)
-    return;
-  if (node == nullptr || vacancy.asking) return;
+  const StoredNode* node = FindNode(label);
+  if (!IsOwn(current) || node == nullptr) return;
+  if (partitions_[partition].change_in_flight) return;
   SteadyTime now = context_.now();
   if (!context_.writes.Take(now, 1) || !context_.requests.Take(now, 1)) return;
+  bool unreachable = reason == HandoverReason::kUnreachable;
+  PartitionRecord record{label, node->value.incarnation,
+                         unreachable ? context_.deployment.label : ""};
   Transaction txn;
   txn.conditions.push_back({keys::Partition(partition), current->mod_revision});
+  // Fails if the new owner has gone since the state was read.
   txn.conditions.push_back(
       {keys::Node(label, node->value.incarnation), node->mod_revision});
-  txn.writes.push_back(
-      {keys::Partition(partition),
-       PartitionRecord{label, node->value.incarnation,
-                       unreachable ? context_.deployment.label : ""}});
-  vacancy.asking = true;
+  txn.writes.push_back({keys::Partition(partition), std::move(record)});
   context_.out.Log(LogLevel::kInfo,
                    "event=handover partition={} to={} reason={}", partition,
-                   label, unreachable ? "unreachable" : "balance");
+                   label, ToString(reason));
+  StoreOwner(partition, std::move(txn));
+}
+
+void Ownership::StoreOwner(uint32_t partition, Transaction txn) {
+  partitions_[partition].change_in_flight = true;
   context_.out.CallState(
       std::move(txn), context_.tuning.state_timeout,
       [this, partition](const StateReply&) {
-        context_.state_watcher.AfterNextRead(
-            [this, partition](bool) { vacancies_[partition].asking = false; });
+        // Whatever the answer, or without one: the next read shows who owns the
+        // partition now.
+        context_.state_watcher.AfterNextRead([this, partition](bool) {
+          partitions_[partition].change_in_flight = false;
+        });
       });
 }
 
 std::optional<uint64_t> Ownership::FencingTokenOf(uint32_t partition) const {
-  const StateCache::Versioned<PartitionRecord>* current =
+  const StoredPartition* current =
       context_.state_cache.FindPartition(partition);
-  if (current == nullptr || current->value.incarnation != context_.incarnation)
-    return {};
+  if (!IsOwn(current)) return {};
   return current->mod_revision;
 }
 
 std::string Ownership::OwnerOf(uint32_t partition) const {
-  const StateCache::Versioned<PartitionRecord>* current =
+  const StoredPartition* current =
       context_.state_cache.FindPartition(partition);
   if (current == nullptr || !context_.state_cache.NodeAlive(current->value)) {
     return "";
