--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -12,12 +12,17 @@
 
 #include "core/autoscaler/autoscaler.h"
 #include "core/jobs/users.h"
+#include "core/membership/misrouted_workers.h"
 #include "core/membership/ownership.h"
+#include "core/membership/peers.h"
+#include "core/membership/shared_rate_limits.h"
 #include "core/partition/partition.h"
 #include "core/state/context.h"
 
 namespace pitchfall {
 
+// Hands each command to the component that it is for, then lets every component
+// do its next step. Decides nothing itself beyond which partitions run here.
 class Controller {
  public:
   // `incarnation` must differ from that of every process that ever ran.
@@ -31,11 +36,6 @@
   const StateCache& state_cache() const { return state_cache_; }
 
  private:
-  struct Peer {
-    PeerHeartbeat heartbeat;
-    SteadyTime heard{};
-  };
-
   void On(const SubmitJob& command) {
     users_.Submit(command.request, command.spec);
   }
@@ -51,55 +51,33 @@
   void On(const PeerHeartbeat& heartbeat);
   void On(const Tick&) {}
 
+  // The steps of a batch, in their order.
+  void UpdateRateShares();
   void FollowOwnership();
   void StepPartitions();
-  void CompareWithStored();
-  void ShareBudgets();
-  void ExchangeHeartbeats();
-  // What lets the others go on answering their workers, and stop what has been
-  // cancelled, without the state service.
-  void AddCancellationEchoes(PeerHeartbeat& heartbeat) const;
+  void SendHeartbeatIfDue();
   void HandOverUnreachablePartitions();
-  // Workers that came here lately because they could not reach the partition's
-  // owner.
-  uint32_t MisroutedWorkersOf(uint32_t partition) const;
-  bool Healthy() const;
-  static void SendElsewhere(std::vector<Effect>& effects);
+
+  // Reports once if the state holds partitions beyond the configured count.
+  void CheckStoredPartitionCount();
+  // Replaces what runs here of a partition after its owner has changed.
+  void SetFencingToken(uint32_t number, std::optional<uint64_t> fencing_token);
+  Context MakeContext(const std::string& incarnation);
 
   const Deployment deployment_;
   const Tuning tuning_;
   Outbox out_;
   StateCache state_cache_;
-  const Deployment::StateServiceLimits state_rates_;
-  TokenBucket requests_;
-  TokenBucket writes_;
-  TokenBucket cloud_;
+  SharedRateLimits rate_limits_;
   StateWatcher state_watcher_;
   Context context_;
   Ownership ownership_;
+  Peers peers_;
+  MisroutedWorkers misrouted_workers_;
   Users users_;
-  std::map<uint32_t, std::unique_ptr<Partition>> partitions_;
-  std::optional<Autoscaler> autoscaler_;
-  std::map<std::string, Peer> peers_;
-  // Workers that came here and were sent on.
-  struct MisroutedWorker {
-    uint32_t partition = 0;
-    SteadyTime first{};
-    SteadyTime last{};
-    // It has seen the present owner's fencing token, so it has been with it,
-    // and would still be there if it could.
-    bool lost_owner = false;
-  };
-  std::map<std::string, MisroutedWorker> misrouted_workers_;
-  SteadyTime next_heartbeat_{};
-  SteadyTime last_heartbeat_{};
-  uint64_t announced_cancellations_ = 0;  // of the cancellations stored here
-  double request_use_ = 0;
-  double requests_taken_ = 0;
-  double write_use_ = 0;
-  double writes_taken_ = 0;
-  SteadyTime started_{};
-  bool compared_ = false;  // the settings with what is stored
+  std::map<uint32_t, std::unique_ptr<Partition>> partitions_;  // owned here
+  std::optional<Autoscaler> autoscaler_;  // while this controller leads
+  bool partition_count_checked_ = false;
 };
 
 }  // namespace pitchfall
--- /dev/null
+++ b/src/core/membership/peers.cc
@@ -0,0 +1,160 @@
+#include "core/membership/peers.h"
+
+#include <algorithm>
+#include <functional>
+#include <utility>
+
+namespace pitchfall {
+namespace {
+
+constexpr Duration kHeartbeatInterval = Millis(500);
+// After storing a cancellation; more than one in that time share a heartbeat.
+constexpr Duration kUrgentHeartbeatInterval = Millis(50);
+// A peer counts as live for this long after its last heartbeat, five intervals.
+constexpr Duration kPeerTimeout = Millis(2500);
+// Keeps a heartbeat small enough to be sent twice a second.
+constexpr size_t kMaxCancellationsPerHeartbeat = 500;
+// Reads come several times a second; one that is late means little, a second
+// without any that this controller or the state service has failed.
+constexpr Duration kMaxHealthyStateAge = Millis(1200);
+// The age that a controller tells which has not read the state yet: beyond any
+// limit.
+constexpr Duration kStateNeverRead = Millis(3'600'000);
+
+}  // namespace
+
+bool Peers::OnHeartbeat(const PeerHeartbeat& heartbeat) {
+  // A network partition can hold messages back for minutes; taken in, they
+  // would make a peer that is gone look live, with free capacity.
+  Duration age = context_.out.now().wall - heartbeat.sent;
+  if (age > kPeerTimeout + 2 * context_.deployment.time_bound) return false;
+  SteadyTime now = context_.now();
+  peers_[heartbeat.label] = {heartbeat, now};
+  for (const auto& [partition, free] : heartbeat.free) {
+    context_.capacity_table.Update(partition, free, now);
+  }
+  for (const std::string& id : heartbeat.cancelled) {
+    const Job* job = context_.state_cache.FindJob(id);
+    if (job != nullptr && job->record.final()) continue;
+    context_.cancelled_by_peers.insert(id);
+  }
+  context_.cancellation_watermark.OnPeerHeartbeat(
+      heartbeat, now, context_.state_watcher.current_as_of());
+  return true;
+}
+
+void Peers::ForgetStoredCancellations() {
+  std::erase_if(context_.cancelled_by_peers, [this](const std::string& id) {
+    const Job* job = context_.state_cache.FindJob(id);
+    return job != nullptr && job->record.final();
+  });
+}
+
+bool Peers::HeartbeatDue(uint64_t stored_cancellations) const {
+  SteadyTime now = context_.now();
+  if (now >= next_due_) return true;
+  return stored_cancellations != announced_cancellations_ &&
+         now - last_sent_ >= kUrgentHeartbeatInterval;
+}
+
+void Peers::SendHeartbeat(const LocalStatus& status) {
+  SteadyTime now = context_.now();
+  // The first heartbeat is sent in the first step of the process.
+  if (!first_sent_) first_sent_ = now;
+  announced_cancellations_ = status.stored_cancellations;
+  last_sent_ = now;
+  next_due_ = now + kHeartbeatInterval;
+  for (const LocalStatus::OwnedPartition& partition : status.partitions) {
+    context_.capacity_table.Update(partition.number, partition.free, now);
+  }
+  context_.out.Send(BuildHeartbeat(status));
+}
+
+PeerHeartbeat Peers::BuildHeartbeat(const LocalStatus& status) const {
+  SteadyTime now = context_.now();
+  PeerHeartbeat heartbeat;
+  heartbeat.label = context_.deployment.label;
+  heartbeat.incarnation = context_.incarnation;
+  heartbeat.sent = context_.out.now().wall;
+  heartbeat.state_age = context_.state_watcher.loaded()
+                            ? context_.state_watcher.Age()
+                            : kStateNeverRead;
+  heartbeat.requests = status.usage.requests;
+  heartbeat.writes = status.usage.writes;
+  heartbeat.misrouted_workers = status.misrouted_workers;
+  for (const LocalStatus::OwnedPartition& partition : status.partitions) {
+    heartbeat.free[partition.number] = partition.free;
+    heartbeat.tokens[partition.number] = partition.fencing_token;
+  }
+  heartbeat.uptime = now - *first_sent_;
+  heartbeat.revision = context_.state_cache.revision();
+  heartbeat.sender_time = now;
+  AddCancellationEchoes(heartbeat);
+  return heartbeat;
+}
+
+void Peers::AddCancellationEchoes(PeerHeartbeat& heartbeat) const {
+  // One list of cancellations serves all: what is new to the peer that knows
+  // least. From the one on for which the list would grow too long, peers get no
+  // echo, because an echo without the whole list would let them go on with
+  // tasks of a cancelled job.
+  for (const Peer* peer : LivePeersByRevision()) {
+    auto cancelled = context_.state_cache.CancelledSince(
+        peer->heartbeat.revision, kMaxCancellationsPerHeartbeat);
+    if (!cancelled) break;
+    heartbeat.cancelled = std::move(*cancelled);
+    heartbeat.echoes.push_back({peer->heartbeat.label,
+                                peer->heartbeat.incarnation,
+                                peer->heartbeat.sender_time});
+  }
+}
+
+std::vector<const Peers::Peer*> Peers::LivePeersByRevision() const {
+  std::vector<const Peer*> live;
+  for (const auto& [label, peer] : peers_) {
+    if (IsLive(peer)) live.push_back(&peer);
+  }
+  // Peers of equal revision stay in the order of their labels.
+  std::ranges::stable_sort(live, std::ranges::greater{}, [](const Peer* peer) {
+    return peer->heartbeat.revision;
+  });
+  return live;
+}
+
+bool Peers::IsLive(const Peer& peer) const {
+  return SinceHeard(peer) < kPeerTimeout;
+}
+
+bool Peers::Healthy() const {
+  if (!context_.state_watcher.loaded()) return false;
+  if (context_.state_watcher.Age() < kMaxHealthyStateAge) return true;
+  bool hears_any = context_.deployment.peers.empty();
+  for (const auto& [label, peer] : peers_) {
+    if (!IsLive(peer)) continue;
+    if (peer.heartbeat.state_age < kMaxHealthyStateAge) return false;
+    hears_any = true;
+  }
+  return hears_any;
+}
+
+std::vector<std::optional<RateUsage>> Peers::RateUsages() const {
+  std::vector<std::optional<RateUsage>> usages;
+  for (const auto& [label, peer] : peers_) {
+    std::optional<RateUsage>& usage = usages.emplace_back();
+    if (!IsLive(peer)) continue;
+    usage = RateUsage{peer.heartbeat.requests, peer.heartbeat.writes};
+  }
+  return usages;
+}
+
+std::optional<std::string> Peers::FindMisroutedWorkers(
+    uint32_t partition) const {
+  for (const auto& [label, peer] : peers_) {
+    if (SinceHeard(peer) > kPeerTimeout) continue;
+    const std::vector<uint32_t>& misrouted = peer.heartbeat.misrouted_workers;
+    if (partition < misrouted.size() && misrouted[partition] > 0) return label;
+  }
+  return {};
+}
+
+}  // namespace pitchfall
