--- a/src/core/membership/node_registration.cc
+++ b/src/core/membership/node_registration.cc
@@ -24,10 +24,10 @@
   // lease, and with it its partitions, because of its own other calls.
   context_.requests.TakeOnCredit(now, 1);
   lease_call_in_flight_ = true;
-  if (lease_ == 0) {
-    GrantLease();
+  if (lease_) {
+    RenewLease(*lease_);
   } else {
-    RenewLease();
+    GrantLease();
   }
 }
 
@@ -44,12 +44,12 @@
       });
 }
 
-void NodeRegistration::RenewLease() {
+void NodeRegistration::RenewLease(uint64_t lease) {
   Duration interval = context_.tuning.node_lease / kRenewalsPerTtl;
   context_.out.CallState(
-      Renew{lease_}, interval, [this, interval](const StateReply& reply) {
+      Renew{lease}, interval, [this, interval](const StateReply& reply) {
         lease_call_in_flight_ = false;
-        if (reply.status == 404) lease_ = 0;
+        if (reply.status == 404) lease_.reset();
         bool renewed = reply.status == 200;
         next_lease_call_ =
             context_.now() + (renewed ? interval : kRenewRetryDelay);
@@ -63,11 +63,11 @@
     return;
   }
   registered_at_.reset();
-  if (lease_ == 0 || write_in_flight_ || context_.now() < next_write_) return;
-  WriteNodeKey();
+  if (!lease_ || write_in_flight_ || context_.now() < next_write_) return;
+  WriteNodeKey(*lease_);
 }
 
-void NodeRegistration::WriteNodeKey() {
+void NodeRegistration::WriteNodeKey(uint64_t lease) {
   SteadyTime now = context_.now();
   context_.writes.TakeOnCredit(now, 1);
   context_.requests.TakeOnCredit(now, 1);
@@ -77,12 +77,12 @@
   Transaction txn;
   txn.conditions.push_back({key, 0});
   txn.writes.push_back(
-      {key, NodeRecord{label, context_.incarnation, kThisVersion}, lease_});
+      {key, NodeRecord{label, context_.incarnation, kThisVersion}, lease});
   context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
                          [this](const StateReply& reply) {
                            write_in_flight_ = false;
                            next_write_ = context_.now() + kRegisterRetryDelay;
-                           if (reply.no_lease) lease_ = 0;
+                           if (reply.no_lease) lease_.reset();
                            context_.state_watcher.RequestRead();
                          });
 }
--- a/src/core/membership/node_registration.h
+++ b/src/core/membership/node_registration.h
@@ -33,11 +33,11 @@
 
  private:
   void GrantLease();
-  void RenewLease();
-  void WriteNodeKey();
+  void RenewLease(uint64_t lease);
+  void WriteNodeKey(uint64_t lease);
 
   Context& context_;
-  uint64_t lease_ = 0;  // 0: none
+  std::optional<uint64_t> lease_;
   bool lease_call_in_flight_ = false;
   SteadyTime next_lease_call_{};
   bool write_in_flight_ = false;
--- a/src/core/membership/ownership.cc
+++ b/src/core/membership/ownership.cc
@@ -20,6 +20,14 @@
 // others may be up within moments.
 constexpr Duration kFirstTakeOverDelay = Millis(1500);
 
+// All controllers of the deployment in an order on which they agree.
+std::vector<std::string> ConfiguredLabels(const Deployment& deployment) {
+  std::vector<std::string> labels{deployment.label};
+  for (const auto& peer : deployment.peers) labels.push_back(peer.label);
+  std::sort(labels.begin(), labels.end());
+  return labels;
+}
+
 std::string_view ToString(HandoverReason reason) {
   return reason == HandoverReason::kUnreachable ? "unreachable" : "balance";
 }
@@ -60,13 +68,13 @@
 }
 
 std::string Ownership::PreferredOwner(uint32_t partition) const {
-  std::vector<std::string> labels{context_.deployment.label};
-  for (const auto& peer : context_.deployment.peers) {
-    labels.push_back(peer.label);
-  }
-  std::sort(labels.begin(), labels.end());
-  const std::string& first = labels[partition % labels.size()];
-  if (alive_since_.contains(first)) return first;
+  std::vector<std::string> labels = ConfiguredLabels(context_.deployment);
+  const std::string& assigned = labels[partition % labels.size()];
+  if (alive_since_.contains(assigned)) return assigned;
+  return HighestHashedController(partition);
+}
+
+std::string Ownership::HighestHashedController(uint32_t partition) const {
   std::string best;
   uint64_t best_hash = 0;
   for (const auto& [label, since] : alive_since_) {
--- a/src/core/membership/ownership.h
+++ b/src/core/membership/ownership.h
@@ -75,8 +75,12 @@
   bool IsVacant(const StoredPartition* current) const;
   Duration TakeOverDelay(uint32_t partition,
                          const StoredPartition* current) const;
-  // The controller that should own the partition, given which ones are alive.
+  // The controller that should own the partition: the one it is assigned to by
+  // number or, while that one is down, one that all others agree on. Empty if
+  // no controller is registered.
   std::string PreferredOwner(uint32_t partition) const;
+  // The live controller that rendezvous hashing gives the partition to.
+  std::string HighestHashedController(uint32_t partition) const;
   // The newest live incarnation of the controller; null if there is none.
   const StoredNode* FindNode(const std::string& label) const;
 
