--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -178,6 +178,17 @@
   EXPECT_DOUBLE_EQ(limits_.requests().rate(), 95 - 25);
 }
 
+TEST_F(SharedRateLimitsTest, SavesUpTokensForLessThanASecond) {
+  SteadyTime now{Seconds(1000)};
+  limits_.UpdateShares({RateUsage{55, 14}}, 2, false);
+  EXPECT_DOUBLE_EQ(limits_.requests().rate(), 40);
+  EXPECT_DOUBLE_EQ(limits_.requests().Available(now), 0.7 * 40);
+  EXPECT_DOUBLE_EQ(limits_.writes().Available(now), 0.7 * 0.8 * 15 / 2);
+  // However small the share, one token can be saved up.
+  limits_.UpdateShares({RateUsage{55, 14}}, 100, false);
+  EXPECT_DOUBLE_EQ(limits_.writes().Available(now), 1);
+}
+
 TEST_F(SharedRateLimitsTest, GivesTheLeaderMostOfTheCloudsRate) {
   limits_.UpdateShares({}, 2, true);
   EXPECT_DOUBLE_EQ(limits_.cloud().rate(), 4 * 0.6);
@@ -358,7 +369,9 @@
   heartbeat.label = "node-1";
   peers_.OnHeartbeat(heartbeat);
   EXPECT_EQ(peers_.FindMisroutedWorkers(1), "node-1");
-  Advance(Millis(2501));
+  Advance(Millis(2500));
+  EXPECT_EQ(peers_.FindMisroutedWorkers(1), "node-1");
+  Advance(Millis(1));
   EXPECT_EQ(peers_.FindMisroutedWorkers(1), std::nullopt);
 }
 
@@ -604,6 +617,8 @@
 TEST_F(OwnershipTest, TakesNothingOverBeforeItIsRegistered) {
   LoadState();
   EXPECT_FALSE(StepAndTakeChangeOf(0));
+  Advance(Millis(1600));  // longer than any delay, and the state still fresh
+  EXPECT_FALSE(StepAndTakeChangeOf(0));
   StoreNode("node-0", kIncarnation);
   EXPECT_TRUE(StepAndTakeChangeOf(0));
 }
@@ -626,6 +641,19 @@
   EXPECT_EQ(change->conditions[0].mod_revision, fencing_token);
 }
 
+TEST_F(OwnershipTest, WaitsAMinuteBeforeItHandsBackToAnUnreachableOwner) {
+  LoadState();
+  StoreNode("node-0", kIncarnation);
+  StoreNode("node-1", "b");
+  Store(keys::Partition(1), PartitionRecord{"node-0", kIncarnation, "node-1"});
+  EXPECT_FALSE(StepAndTakeChangeOf(1));
+  Advance(Millis(59499));
+  ReadState();
+  EXPECT_FALSE(StepAndTakeChangeOf(1));
+  Advance(Millis(1));
+  EXPECT_TRUE(StepAndTakeChangeOf(1));
+}
+
 TEST_F(OwnershipTest, DoesNotHandOverWhatItDoesNotOwnOrToNobody) {
   LoadState();
   StoreNode("node-0", kIncarnation);
