--- a/src/core/membership/fencing_token_announcer.h
+++ b/src/core/membership/fencing_token_announcer.h
@@ -21,6 +21,9 @@
 
 namespace pitchfall {
 
+// Belongs to one ownership of one partition and ends with it. Replies that come
+// later have no effect. A call to a worker that fails is repeated only if the
+// list of machines, begun anew, names the worker again.
 class FencingTokenAnnouncer {
  public:
   // `has_seen_fencing_token` tells whether the machine of that name has shown
