--- a/src/core/autoscaler/instance_inventory.cc
+++ b/src/core/autoscaler/instance_inventory.cc
@@ -4,6 +4,8 @@
 #include <iterator>
 #include <utility>
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
@@ -53,7 +55,7 @@
 
 void InstanceInventory::OnPage(const CloudReply& reply) {
   const SteadyTime now = out_.now().steady;
-  if (reply.status != 200) {
+  if (reply.status != http_status::kOk) {
     listing_.reset();
     next_list_ = now + kListRetryDelay;
     return;
@@ -153,7 +155,7 @@
   }
   out_.CallCloud(DeleteMachines{names}, tuning_.cloud_timeout,
                  guard_.Wrap([this, names](const CloudReply& reply) {
-                   if (reply.status != 200) return;
+                   if (reply.status != http_status::kOk) return;
                    for (const std::string& name : names) instances_.erase(name);
                  }));
 }
--- a/src/core/autoscaler/instance_requests.cc
+++ b/src/core/autoscaler/instance_requests.cc
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
@@ -23,8 +25,8 @@
 
 // The cloud will create nothing for this request, however often it is sent.
 bool IsRejected(const CloudReply& reply) {
-  return reply.no_capacity || reply.status == 400 ||
-         (reply.status == 200 && reply.created.empty());
+  return reply.no_capacity || reply.status == http_status::kBadRequest ||
+         (reply.status == http_status::kOk && reply.created.empty());
 }
 
 }  // namespace
@@ -157,9 +159,10 @@
   out_.Log(LogLevel::kInfo,
            "event=instance_request name={} status={} no_capacity={} got={}",
            name, reply.status, reply.no_capacity, reply.created.size());
-  if (reply.status == 429) cloud_.Drain(now);
+  if (reply.status == http_status::kTooManyRequests) cloud_.Drain(now);
   const bool rejected = IsRejected(reply);
-  if (!rejected && reply.status != 200) return;  // sent again later
+  if (!rejected && reply.status != http_status::kOk)
+    return;  // sent again later
   if (rejected || reply.created.size() < record.count) {
     refused_until_[OfferOf(record)] = now + kRefusedInterval;
   }
--- a/src/core/autoscaler/leader_state_writer.cc
+++ b/src/core/autoscaler/leader_state_writer.cc
@@ -5,14 +5,6 @@
 #include "core/model/records.h"
 
 namespace pitchfall {
-namespace {
-
-// The leader's transactions are few and never wait for tokens: with a reserve
-// as low as this a bucket always gives, and the other writers of this process
-// make up for the debt.
-constexpr double kUnlimitedOverdraft = -1e9;
-
-}  // namespace
 
 LeaderStateWriter::LeaderStateWriter(Outbox& out, const Tuning& tuning,
                                      TokenBucket& requests, TokenBucket& writes,
@@ -28,9 +20,10 @@
 void LeaderStateWriter::Write(Transaction transaction,
                               Outbox::StateHandler on_reply) {
   const SteadyTime now = out_.now().steady;
-  writes_.Take(now, static_cast<double>(transaction.writes.size()),
-               kUnlimitedOverdraft);
-  requests_.Take(now, 1, kUnlimitedOverdraft);
+  // The leader's transactions are few and never wait for tokens; the other
+  // writers of this process make up for the debt.
+  writes_.TakeOnCredit(now, static_cast<double>(transaction.writes.size()));
+  requests_.TakeOnCredit(now, 1);
   transaction.conditions.push_back({keys::Partition(0), fencing_token_});
   writing_ = true;
   out_.CallState(std::move(transaction), tuning_.state_timeout,
--- a/src/core/autoscaler/machine_type_catalog.cc
+++ b/src/core/autoscaler/machine_type_catalog.cc
@@ -5,6 +5,8 @@
 #include <map>
 #include <utility>
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
@@ -36,7 +38,8 @@
   out_.CallCloud(GetTypes{}, tuning_.cloud_timeout,
                  guard_.Wrap([this](const CloudReply& reply) {
                    fetching_ = false;
-                   const bool ok = reply.status == 200 && !reply.types.empty();
+                   const bool ok =
+                       reply.status == http_status::kOk && !reply.types.empty();
                    const Duration delay = ok ? kFetchInterval : kRetryDelay;
                    next_fetch_ = out_.now().steady + delay;
                    if (ok) Store({reply.types});
@@ -55,7 +58,8 @@
       {keys::kTypes, stored ? stored->mod_revision : 0});
   transaction.writes.push_back({keys::kTypes, std::move(types), 0});
   state_writer_.Write(std::move(transaction), [this](const StateReply& reply) {
-    if (reply.status != 200) next_fetch_ = out_.now().steady + kRetryDelay;
+    if (reply.status != http_status::kOk)
+      next_fetch_ = out_.now().steady + kRetryDelay;
   });
 }
 
--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "core/base/rendezvous_hash.h"
+#include "core/model/http_status.h"
 
 namespace pitchfall {
 namespace {
@@ -23,7 +24,8 @@
 void CloseRefusedConnections(std::vector<Effect>& effects) {
   for (Effect& effect : effects) {
     auto* reply = std::get_if<Reply>(&effect);
-    if (reply != nullptr && reply->status == 503) reply->close = true;
+    if (reply != nullptr && reply->status == http_status::kServiceUnavailable)
+      reply->close = true;
   }
 }
 
@@ -82,7 +84,7 @@
 
 void Controller::On(const HealthCheck& command) {
   if (peers_.Healthy()) {
-    out_.Answer(command.request, 200);
+    out_.Answer(command.request, http_status::kOk);
   } else {
     out_.Refuse(command.request, kUnhealthyRetryAfter);
   }
--- a/src/core/jobs/job_change_queue.cc
+++ b/src/core/jobs/job_change_queue.cc
@@ -30,9 +30,6 @@
 // so at once.
 constexpr double kMaxSubmissionDebt = 2;
 constexpr double kMaxCancellationDebt = 2;
-// As a reserve: the request has been decided on, and its token is taken however
-// far below zero that leads.
-constexpr double kUnlimitedDebt = 1e9;
 
 // Submissions are queued up to what is stored in so many seconds at the present
 // rate, and a few whatever the rate.
@@ -123,7 +120,8 @@
   if (storing_ || queue_.empty() || now < next_store_) return;
   Batch batch = TakeBatch(now);
   if (batch.changes.empty()) return;
-  state_.requests.Take(now, 1, -kUnlimitedDebt);
+  // The write has been decided on; its request is counted whatever the budget.
+  state_.requests.TakeOnCredit(now, 1);
   storing_ = true;
   Transaction transaction = batch.transaction;
   auto handler = [this,
--- a/src/core/membership/fencing_token_announcer.cc
+++ b/src/core/membership/fencing_token_announcer.cc
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "core/base/rendezvous_hash.h"
+#include "core/model/http_status.h"
 
 namespace pitchfall {
 namespace {
@@ -58,7 +59,7 @@
       waiting_.push_back(listed);
     }
   }
-  if (reply.status == 200) {
+  if (reply.status == http_status::kOk) {
     bool more = reply.more && !reply.listed.empty();
     last_listed_ = more ? reply.listed.back().name : "";
   }
--- a/src/core/membership/misrouted_workers.cc
+++ b/src/core/membership/misrouted_workers.cc
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <optional>
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
@@ -27,11 +29,13 @@
   if (worker.lost_owner && Count(partition) >= kManyWorkers) {
     // To send so many back would cost each another wait, and its lease. Going
     // round they find whoever the partition is handed to.
-    context_.out.Answer(request, 421, Redirect{});
+    context_.out.Answer(request, http_status::kMisdirectedRequest, Redirect{});
   } else if (owner.empty()) {
-    context_.out.Answer(request, 503, Problem{"no owner known"});
+    context_.out.Answer(request, http_status::kServiceUnavailable,
+                        Problem{"no owner known"});
   } else {
-    context_.out.Answer(request, 421, Redirect{owner});
+    context_.out.Answer(request, http_status::kMisdirectedRequest,
+                        Redirect{owner});
   }
 }
 
--- a/src/core/membership/node_registration.cc
+++ b/src/core/membership/node_registration.cc
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
@@ -37,7 +39,7 @@
       Grant{ttl}, context_.tuning.state_timeout,
       [this, ttl](const StateReply& reply) {
         lease_call_in_flight_ = false;
-        bool granted = reply.status == 200 && reply.lease != 0;
+        bool granted = reply.status == http_status::kOk && reply.lease != 0;
         if (granted) lease_ = reply.lease;
         next_lease_call_ = context_.now() +
                            (granted ? ttl / kRenewalsPerTtl : kGrantRetryDelay);
@@ -49,8 +51,8 @@
   context_.out.CallState(
       Renew{lease}, interval, [this, interval](const StateReply& reply) {
         lease_call_in_flight_ = false;
-        if (reply.status == 404) lease_.reset();
-        bool renewed = reply.status == 200;
+        if (reply.status == http_status::kNotFound) lease_.reset();
+        bool renewed = reply.status == http_status::kOk;
         next_lease_call_ =
             context_.now() + (renewed ? interval : kRenewRetryDelay);
       });
--- a/src/core/model/outbox.h
+++ b/src/core/model/outbox.h
@@ -11,6 +11,7 @@
 #include <utility>
 #include <vector>
 
+#include "core/model/http_status.h"
 #include "core/model/messages.h"
 
 namespace pitchfall {
@@ -30,7 +31,8 @@
   }
   // The usual way to say "not now".
   void Refuse(RequestId request, Duration retry_after) {
-    Answer(request, 503, Problem{"try again later"}, retry_after);
+    Answer(request, http_status::kServiceUnavailable,
+           Problem{"try again later"}, retry_after);
   }
 
   void CallState(StateRequest request, Duration timeout, StateHandler handler) {
--- a/src/core/partition/committer.cc
+++ b/src/core/partition/committer.cc
@@ -3,23 +3,21 @@
 #include <string>
 #include <utility>
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
-// A reserve so low that tokens are always given: what has been decided is
-// stored, and the budget is in debt until enough tokens have come in.
-constexpr double kBorrowWithoutLimit = -1e9;
-
 CommitOutcome OutcomeOf(int status) {
   switch (status) {
-    case 200:
+    case http_status::kOk:
       return CommitOutcome::kStored;
-    case 400:
+    case http_status::kBadRequest:
       return CommitOutcome::kTooLarge;
-    case 409:
+    case http_status::kConflict:
       return CommitOutcome::kConflict;
-    case 429:
-    case 503:
+    case http_status::kTooManyRequests:
+    case http_status::kServiceUnavailable:
       return CommitOutcome::kRefused;
     default:
       return CommitOutcome::kUnknown;
@@ -32,8 +30,10 @@
                        OnCommitted on_committed) {
   SteadyTime now = context_.now();
   auto puts = static_cast<double>(transaction.writes.size());
-  context_.writes.Take(now, puts, kBorrowWithoutLimit);
-  context_.requests.Take(now, 1, kBorrowWithoutLimit);
+  // What has been decided is stored; the budget is in debt until enough tokens
+  // have come in.
+  context_.writes.TakeOnCredit(now, puts);
+  context_.requests.TakeOnCredit(now, 1);
   busy_ = true;
   last_write_ = now;
   context_.out.Log(
@@ -65,7 +65,8 @@
       LogTooLarge(transaction);
       break;
     case CommitOutcome::kRefused:
-      if (reply.status == 429) context_.writes.Drain(context_.now());
+      if (reply.status == http_status::kTooManyRequests)
+        context_.writes.Drain(context_.now());
       break;
     case CommitOutcome::kUnknown:
       outcome_unknown_ = true;
@@ -121,7 +122,7 @@
 void Committer::AdvanceWriteFence(OnFenceReply on_reply) {
   SteadyTime now = context_.now();
   if (!context_.writes.Take(now, 1)) return;
-  context_.requests.Take(now, 1, kBorrowWithoutLimit);
+  context_.requests.TakeOnCredit(now, 1);
   busy_ = true;
   last_write_ = now;
   Transaction transaction;
@@ -132,7 +133,7 @@
        PartitionRecord{context_.deployment.label, context_.incarnation}, 0});
   auto handler = lifetime_.Wrap(
       [this, on_reply = std::move(on_reply)](const StateReply& reply) {
-        on_reply(reply.status == 200);
+        on_reply(reply.status == http_status::kOk);
         OnFenceAdvanced(reply);
       });
   context_.out.CallState(std::move(transaction), context_.tuning.state_timeout,
@@ -140,7 +141,7 @@
 }
 
 void Committer::OnFenceAdvanced(const StateReply& reply) {
-  if (reply.status == 200) {
+  if (reply.status == http_status::kOk) {
     write_fence_ = reply.revision;
     outcome_unknown_ = false;
   }
--- a/src/core/partition/heartbeat_handler.cc
+++ b/src/core/partition/heartbeat_handler.cc
@@ -1,5 +1,7 @@
 #include "core/partition/heartbeat_handler.h"
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
@@ -29,15 +31,18 @@
     context_.state_watcher.RequestRead();
   }
   if (!entitlement_.successor().empty()) {
-    context_.out.Answer(request, 421, Redirect{entitlement_.successor()});
+    context_.out.Answer(request, http_status::kMisdirectedRequest,
+                        Redirect{entitlement_.successor()});
     return false;
   }
   if (!entitlement_.MayAnswer()) {
-    context_.out.Answer(request, 503, Problem{"not entitled to answer"});
+    context_.out.Answer(request, http_status::kServiceUnavailable,
+                        Problem{"not entitled to answer"});
     return false;
   }
   if (IsStale(heartbeat)) {
-    context_.out.Answer(request, 503, Problem{"late report"});
+    context_.out.Answer(request, http_status::kServiceUnavailable,
+                        Problem{"late report"});
     return false;
   }
   Accept(request, heartbeat);
--- a/src/core/partition/machine_health.cc
+++ b/src/core/partition/machine_health.cc
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
@@ -138,7 +140,7 @@
 void MachineHealth::OnDeleteReply(const std::vector<std::string>& names,
                                   const CloudReply& reply) {
   call_pending_ = false;
-  bool deleted = reply.status == 200;
+  bool deleted = reply.status == http_status::kOk;
   next_call_ =
       context_.now() + (deleted ? kAfterDeletion : kAfterFailedDeletion);
   if (!deleted) return;
--- a/src/core/partition/worker_responder.cc
+++ b/src/core/partition/worker_responder.cc
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "core/model/http_status.h"
+
 namespace pitchfall {
 namespace {
 
@@ -43,7 +45,8 @@
   }
   WorkerCommands commands{term_.fencing_token,
                           BuildCommands(machine, PolicyFor(machine))};
-  context_.out.Answer(machine.pending_request, 200, std::move(commands));
+  context_.out.Answer(machine.pending_request, http_status::kOk,
+                      std::move(commands));
   machine.pending_request = 0;
   machine.last_answer = context_.now();
   machine.inbound.answers_in_epoch += 1;
@@ -51,7 +54,7 @@
 
 void WorkerResponder::Refuse(Machine& machine) {
   if (machine.pending_request == 0) return;
-  context_.out.Answer(machine.pending_request, 503,
+  context_.out.Answer(machine.pending_request, http_status::kServiceUnavailable,
                       Problem{"not entitled to answer"});
   machine.pending_request = 0;
 }
@@ -86,7 +89,7 @@
   if (reply.heartbeat) {
     entitlement_.OnFencingToken(reply.heartbeat->fencing_token);
   }
-  if (reply.status == 200) return;
+  if (reply.status == http_status::kOk) return;
   Machine* machine = machines_.Find(name);
   if (machine == nullptr) return;
   machine->next_stop = context_.now() + kStopRetryInterval;
--- a/src/core/state/state_watcher.cc
+++ b/src/core/state/state_watcher.cc
@@ -2,20 +2,9 @@
 
 #include <utility>
 
-namespace pitchfall {
-namespace {
-
-// Statuses with which the state service answers reads.
-constexpr int kStatusOk = 200;
-// The log does not reach back to the revision asked for.
-constexpr int kStatusCompacted = 410;
-
-// Lets the token bucket go into debt: further pages of a list count as requests
-// but do not wait for the rate.
-constexpr double kUnlimitedDebt = -1e9;
-
-}  // namespace
+#include "core/model/http_status.h"
 
+namespace pitchfall {
 bool StateWatcher::ReadDue(SteadyTime now) const {
   if (reading_ || now < next_read_) return false;
   bool requested = read_requested_ || !waiting_.empty() || !loaded_;
@@ -42,13 +31,13 @@
 }
 
 void StateWatcher::OnWatchReply(const StateReply& reply) {
-  if (reply.status == kStatusCompacted) {
+  if (reply.status == http_status::kGone) {
     loaded_ = false;  // everything is listed again
     out_.Log(LogLevel::kWarning, "event=state_reread reason=log_too_old");
     Finish(false);
     return;
   }
-  if (reply.status != kStatusOk) {
+  if (reply.status != http_status::kOk) {
     Finish(false);
     return;
   }
@@ -69,7 +58,7 @@
 }
 
 void StateWatcher::OnPage(const StateReply& reply) {
-  if (reply.status != kStatusOk) {
+  if (reply.status != http_status::kOk) {
     Finish(false);
     return;
   }
@@ -79,7 +68,8 @@
   if (listing_->revision == 0) listing_->revision = reply.revision;
   if (reply.more && !reply.changes.empty()) {
     listing_->after = reply.changes.back().key;
-    requests_.Take(out_.now().steady, 1, kUnlimitedDebt);
+    // Further pages of a list count as requests but do not wait for the rate.
+    requests_.TakeOnCredit(out_.now().steady, 1);
     StartList();
     return;
   }
