--- a/src/core/autoscaler/instance_inventory.h
+++ b/src/core/autoscaler/instance_inventory.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "core/base/lifetime_guard.h"
 #include "core/autoscaler/machine_type_catalog.h"
 #include "core/autoscaler/machine_use.h"
 #include "core/autoscaler/offer.h"
+#include "core/base/lifetime_guard.h"
 #include "core/base/token_bucket.h"
 #include "core/model/outbox.h"
 #include "core/model/settings.h"
--- a/src/core/autoscaler/instance_requests.h
+++ b/src/core/autoscaler/instance_requests.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "core/base/lifetime_guard.h"
 #include "core/autoscaler/instance_inventory.h"
 #include "core/autoscaler/leader_state_writer.h"
 #include "core/autoscaler/offer.h"
 #include "core/autoscaler/sizing_decision.h"
+#include "core/base/lifetime_guard.h"
 #include "core/base/token_bucket.h"
 #include "core/model/outbox.h"
 #include "core/model/settings.h"
--- a/src/core/autoscaler/machine_type_catalog.h
+++ b/src/core/autoscaler/machine_type_catalog.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "core/base/lifetime_guard.h"
 #include "core/autoscaler/leader_state_writer.h"
 #include "core/autoscaler/offer.h"
+#include "core/base/lifetime_guard.h"
 #include "core/base/token_bucket.h"
 #include "core/model/outbox.h"
 #include "core/model/settings.h"
--- a/tests/answer_bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -1,5 +1,5 @@
 // How long an owner may answer its workers without the state service, and what
-// other controllers' words are worth for it. docs/architecture.md has the
+// other controllers' words are worth for it. docs/proofs.md has the
 // inequality.
 #include <gtest/gtest.h>
 
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -10,7 +10,6 @@
 #include <variant>
 #include <vector>
 
-#include "core/base/lifetime_guard.h"
 #include "core/autoscaler/instance_inventory.h"
 #include "core/autoscaler/instance_requests.h"
 #include "core/autoscaler/leader_state_writer.h"
@@ -19,6 +18,7 @@
 #include "core/autoscaler/scale_in.h"
 #include "core/autoscaler/scale_out.h"
 #include "core/autoscaler/sizing_history.h"
+#include "core/base/lifetime_guard.h"
 
 namespace pitchfall {
 namespace {
--- a/tests/compound_failures_test.cc
+++ b/tests/compound_failures_test.cc
@@ -1,6 +1,6 @@
 // Failures that overlap, each schedule bringing one combination about over the
 // real core in the simulated deployment, watched by the plain model. Those of
-// messages that are lost, late or doubled are here; docs/architecture.md has
+// messages that are lost, late or doubled are here; docs/testing.md has
 // the table of all combinations.
 #include <gtest/gtest.h>
 
--- a/tests/overlapping_failures_test.cc
+++ b/tests/overlapping_failures_test.cc
@@ -1,5 +1,5 @@
 // Failures that overlap, each brought about on purpose over the real core in
-// the simulated deployment, watched by the plain model. docs/architecture.md
+// the simulated deployment, watched by the plain model. docs/testing.md
 // has the table: overlap, rules at stake, guard, test, what was found.
 #include <gtest/gtest.h>
 
