--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -266,9 +266,9 @@
           static_cast<uint32_t>(in.CountOr("version", kFirstVersion))};
 }
 
-void Pack(Packer& out, const PartitionRecord& share) {
-  out.Map(3).Pair("label", share.label).Pair("life", share.incarnation);
-  out.Pair("shun", share.unreachable_owner);
+void Pack(Packer& out, const PartitionRecord& owner) {
+  out.Map(3).Pair("label", owner.label).Pair("life", owner.incarnation);
+  out.Pair("shun", owner.unreachable_owner);
 }
 PartitionRecord ReadPartition(const Fields& in) {
   return {in.Text("label"), in.Text("life"), in.TextOr("shun", "")};
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -189,7 +189,7 @@
   EXPECT_TRUE(BuildCommands(machine_, unwanted).empty());
 }
 
-// ---- Mirror ----
+// ---- State cache ----
 
 TEST(StateCache, OlderNewsDoesNotUndoNewer) {
   StateCache state_cache;
--- a/tests/sim/cluster_simulation.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -266,7 +266,7 @@
   bool old_version = RunsProduction(node);
   node.controller = old_version ? MakeProductionController(setup)
                                 : MakeCurrentController(setup);
-  Note(fmt::format("node {} starts, life {}{}", index, node.incarnation,
+  Note(fmt::format("node {} starts, incarnation {}{}", index, node.incarnation,
                    old_version ? ", version in production" : ""));
   uint64_t incarnation = node.incarnation;
   After(Duration(0),
