--- a/src/core/partition/answer_entitlement.cc
+++ b/src/core/partition/answer_entitlement.cc
@@ -3,8 +3,8 @@
 namespace pitchfall {
 namespace {
 
-// Of a cancellation's time, for the way of the last answer to the worker and
-// for stopping the task.
+// The part of `Deployment::cancel` that is left for the last answer to reach
+// the worker and for the worker to stop the task.
 constexpr Duration kCancelMargin = Millis(2000);
 
 }  // namespace
--- a/src/core/partition/attempt_bindings.h
+++ b/src/core/partition/attempt_bindings.h
@@ -1,4 +1,4 @@
-// Keeps each machine's bound attempts in step with the stored chunk records.
+// Updates each machine's bound attempts from the stored chunk records.
 #ifndef PITCHFALL_CORE_PARTITION_ATTEMPT_BINDINGS_H_
 #define PITCHFALL_CORE_PARTITION_ATTEMPT_BINDINGS_H_
 
@@ -12,11 +12,14 @@
 
 namespace pitchfall {
 
-// Listens to the state cache as long as it exists. The only writer of
-// `Machine::bound`, `bound_images` and `used`.
+// Follows the assignments of one partition's chunks in the state cache, from
+// construction to destruction, and updates the use of machines and team quota.
+// The only class that adds to or removes from `Machine::bound`, and that writes
+// `Machine::bound_images` and `Machine::used`.
 class AttemptBindings : public ChunkListener {
  public:
-  // Loads what earlier owners have bound.
+  // Binds the attempts that are already stored: those of earlier owners of the
+  // partition. `state_cache` and the other references must outlive this object.
   AttemptBindings(StateCache& state_cache, uint32_t partition,
                   MachineRegistry& machines, TeamQuota& quota,
                   RescheduleSignal& reschedule);
@@ -24,6 +27,9 @@
   AttemptBindings(const AttemptBindings&) = delete;
   AttemptBindings& operator=(const AttemptBindings&) = delete;
 
+  // Unbinds assignments that are gone from the chunk's record, or whose chunk
+  // has left this partition, and binds new ones. Requests a scheduling pass
+  // whatever has changed.
   void OnChunk(const Job& job, uint32_t chunk, const Job::Chunk* before,
                const Job::Chunk* after) override;
 
@@ -36,7 +42,9 @@
   MachineRegistry& machines_;
   TeamQuota& quota_;
   RescheduleSignal& reschedule_;
-  bool loading_ = true;  // while what earlier owners have bound is read in
+  // True only in the constructor, while the attempts of earlier owners are
+  // bound.
+  bool loading_ = true;
 };
 
 }  // namespace pitchfall
--- a/src/core/partition/attempt_outcome.cc
+++ b/src/core/partition/attempt_outcome.cc
@@ -37,8 +37,8 @@
                                const BoundAttempt& attempt,
                                uint64_t fencing_token, bool wanted) {
   if (machine.gone) return AttemptOutcome::kGone;
-  // Before the worker has seen this owner's token, an earlier owner's answer
-  // may still start it.
+  // Until the worker has seen this owner's fencing token, a delayed answer of
+  // an earlier owner may still start the attempt.
   if (!machine.heartbeat || machine.heartbeat->fencing_token < fencing_token) {
     return AttemptOutcome::kBound;
   }
@@ -48,8 +48,9 @@
     return task->state == TaskState::kExited ? OutcomeOfExit(task->cause)
                                              : AttemptOutcome::kBound;
   }
-  // An earlier owner's start can have run in an earlier agent epoch, and this
-  // owner's too: never start the same attempt again then.
+  // The attempt may have run already: started by an earlier owner, perhaps in
+  // an earlier agent epoch, or listed in a heartbeat to this owner. The same
+  // attempt is never started twice.
   if (attempt.bound_by_previous_owner || attempt.reported) {
     return AttemptOutcome::kGone;
   }
@@ -59,7 +60,8 @@
   if (attempt.start_sent->agent_epoch != heartbeat.agent_epoch) {
     return AttemptOutcome::kGone;
   }
-  // The start travels in the answer to this very heartbeat.
+  // The start was sent in the answer to this heartbeat (or to a newer one), so
+  // that the heartbeat cannot show its effect.
   if (*attempt.start_sent >= heartbeat.id()) return AttemptOutcome::kBound;
   return not_started;
 }
--- a/src/core/partition/attempt_reconciler.cc
+++ b/src/core/partition/attempt_reconciler.cc
@@ -16,8 +16,9 @@
     for (auto& [key, attempt] : machine.bound) {
       bool wanted = IsWanted(context_, attempt) && !attempt.StopRequested() &&
                     takes_tasks;
-      // Whatever was drafted before is not stored, or the state cache would
-      // show it.
+      // An end that an earlier transaction contained has not been stored:
+      // otherwise the state cache would show it and the attempt would not be
+      // bound any more.
       attempt.ending = false;
       AttemptOutcome outcome =
           ClassifyAttempt(machine, key, attempt, term_.fencing_token, wanted);
@@ -54,8 +55,8 @@
     const JobSpec& spec = job.spec();
     if (!pending.MayChange(job, key.second)) continue;
     ChunkRecord record = RecordAfter(ends, key.second);
-    // Stored by an earlier version when values could be larger: it waits until
-    // enough of its attempts have ended.
+    // An earlier version stored the record when the limit on values was larger.
+    // Its ends wait until enough of its attempts have ended for it to fit.
     if (!sizes_.FitsSegment(key.first, key.second, record)) continue;
     pending.chunks[key] = {&job, std::move(record)};
     for (const AttemptEnd& end : ends) {
@@ -75,8 +76,9 @@
   bool completed = end.outcome == AttemptOutcome::kDone;
   bool failed = end.outcome == AttemptOutcome::kFailed;
   bool replica = spec.shape == Shape::kService;
-  // A replica that ends by itself has failed, whatever it says, unless it has
-  // shown before that both the job and the machine are good.
+  // A replica that ends by itself has failed, whatever exit cause the worker
+  // reports, unless it has run long enough before to show that neither the job
+  // nor the machine is at fault.
   if (replica && (completed || failed) && end.attempt->proven) {
     pending.reports.push_back({Kind::kProvenReplicaEnded, machine, spec.id});
     context_.out.Log(LogLevel::kInfo, "event=replica_ended job={} machine={}",
@@ -94,8 +96,9 @@
   std::set<const Job*, OrderById> changed;
   for (const auto& [key, change] : pending.chunks) changed.insert(change.job);
   for (const Job* job : changed) AddIfFinished(pending, *job);
-  // Two partitions may have finished their last chunks at the same moment,
-  // neither seeing the other's: then the owner of the first chunk says so.
+  // Two partitions may store the ends of the job's last chunks at the same
+  // time, neither knowing of the other's. The owner of the job's first chunk
+  // then adds the completion.
   for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     bool owns_first_chunk =
         job->owner_of(0, context_.partition_count).partition == term_.partition;
--- a/src/core/partition/attempt_reconciler.h
+++ b/src/core/partition/attempt_reconciler.h
@@ -1,5 +1,5 @@
-// Compares what is stored with what machines have shown, and drafts the ends of
-// attempts and the completion of jobs.
+// Compares the stored assignments with the machines' heartbeats, and adds ended
+// attempts and completed jobs to a pending transaction.
 #ifndef PITCHFALL_CORE_PARTITION_ATTEMPT_RECONCILER_H_
 #define PITCHFALL_CORE_PARTITION_ATTEMPT_RECONCILER_H_
 
@@ -18,9 +18,9 @@
 
 namespace pitchfall {
 
-// An attempt ends only on proof (ClassifyAttempt). Until its end is stored it
-// keeps its capacity and its team's quota. The only writer of
-// `BoundAttempt::ending`.
+// An attempt counts as ended only if that is proven (see ClassifyAttempt).
+// Until its end is stored it occupies capacity of its machine and quota of its
+// team. The only class that writes `BoundAttempt::ending`.
 class AttemptReconciler {
  public:
   AttemptReconciler(Context& context, const OwnershipTerm& term,
@@ -31,15 +31,16 @@
         quota_(quota),
         sizes_(context.state_limits) {}
 
-  // Adds the ends of attempts, as many as fit, and frees in advance what they
-  // use.
+  // Adds the ends of as many attempts as fit into the transaction, and deducts
+  // their resources from the planned use of machine and team, so that the same
+  // transaction can assign them to other tasks.
   void AddEnds(PendingTransaction& pending);
-  // Adds the completion of jobs whose tasks are all done, by what is stored and
-  // by `pending`.
+  // Adds the completion of jobs of which all tasks are done once `pending` is
+  // stored. To be called after AddEnds. Services never complete.
   void AddFinishedJobs(PendingTransaction& pending) const;
 
  private:
-  // An attempt whose end has been seen and is not stored yet.
+  // An attempt that has ended although the stored record still assigns it.
   struct AttemptEnd {
     Machine* machine = nullptr;
     BoundAttempt* attempt = nullptr;
@@ -49,11 +50,19 @@
   using EndsByChunk =
       std::map<PendingTransaction::ChunkKey, std::vector<AttemptEnd>>;
 
+  // Classifies every bound attempt of machines that have sent a heartbeat to
+  // this owner or are gone, and returns those that have ended. Resets
+  // `BoundAttempt::ending` of all of them.
   EndsByChunk FindEnds();
-  // What the chunk's record says once these attempts have ended.
+  // Returns the chunk's record without these attempts and with the tasks that
+  // completed marked as done. `ends` holds at least one.
   ChunkRecord RecordAfter(const std::vector<AttemptEnd>& ends,
                           uint32_t chunk) const;
+  // Adds what the end says about the job and the machine; nothing for an
+  // attempt that was stopped or lost.
   void AddReport(PendingTransaction& pending, const AttemptEnd& end) const;
+  // Adds the job's completion unless it has open tasks, is final already or is
+  // a service, or the transaction has no put left.
   void AddIfFinished(PendingTransaction& pending, const Job& job) const;
 
   Context& context_;
