--- a/src/core/partition/chunk_transfer.cc
+++ b/src/core/partition/chunk_transfer.cc
@@ -7,11 +7,13 @@
 namespace pitchfall {
 namespace {
 
-// A replica waits so long at the most for another partition to take it.
+// After this time a waiting replica no longer relies on a transfer to another
+// partition, and may displace other tasks.
 constexpr Duration kTransferWait = Millis(1000);
-// The delay doubles with each transfer of the chunk, up to so many times.
+// The delay doubles with each transfer of the chunk, at most this many times.
 constexpr uint32_t kMaxDelayDoublings = 6;
-// After so many transfers the processors alone are not what it waits for.
+// After this many transfers to the partition with the most free processors, the
+// chunk is assumed to wait for something else.
 constexpr uint32_t kTransfersByCapacity = 2;
 
 }  // namespace
@@ -25,8 +27,9 @@
     const JobSpec& spec, const ChunkOwner& owner) const {
   SteadyTime now = context_.now();
   uint32_t here = term_.partition;
-  // What keeps it waiting may be more than the number of processors, such as
-  // the zone: then one partition after the other is tried.
+  // A chunk that several partitions with free processors could not start may
+  // need something that the capacity table does not show, such as a zone. Then
+  // the partitions with capacity are tried in the order of their numbers.
   auto [partition, tasks] =
       owner.epoch < kTransfersByCapacity
           ? context_.capacity_table.MostFreeCapacity(spec, here, here, now)
@@ -51,7 +54,8 @@
                                  SteadyTime waiting_since) {
   if (context_.partition_count == 1 || !pending.MayAddPut()) return;
   const JobSpec& spec = job.spec();
-  // A gang moves as a whole, and only while none of it runs.
+  // The chunks of a gang are transferred together, and only while none of its
+  // tasks is bound to a machine.
   bool gang = spec.shape == Shape::kGang;
   if (gang && job.assigned > 0) return;
   std::vector<ChunkOwner> owners;
--- a/src/core/partition/committer.cc
+++ b/src/core/partition/committer.cc
@@ -30,8 +30,8 @@
                        OnCommitted on_committed) {
   SteadyTime now = context_.now();
   auto puts = static_cast<double>(transaction.writes.size());
-  // What has been decided is stored; the budget is in debt until enough tokens
-  // have come in.
+  // The transaction is sent whatever the number of tokens; the budget stays in
+  // debt until enough tokens have been added.
   context_.writes.TakeOnCredit(now, puts);
   context_.requests.TakeOnCredit(now, 1);
   busy_ = true;
@@ -77,7 +77,8 @@
       ReadBeforeNextWrite();
       break;
     case CommitOutcome::kConflict:
-      // A write fence whose own answer was lost.
+      // The write fence has another revision than this process knows: an
+      // advance whose reply was lost has been carried out.
       for (const std::string& key : reply.failed) {
         if (key == keys::WriteFence(term_.partition, term_.fencing_token)) {
           outcome_unknown_ = true;
@@ -114,10 +115,11 @@
       lifetime_.Wrap([this](bool) { busy_ = false; }));
 }
 
-// Reading shows whether a write without an answer has been carried out, but not
-// that it never will be: a late copy would add starts to capacity and quota
-// that have been given to others by then. Every write depends on the write
-// fence, so once that has changed no earlier one can come through
+// A read shows whether a write without a reply has been carried out, but not
+// that it never will be: a delayed copy of the request could still add starts
+// that use capacity and quota given to other tasks since. Every write has the
+// revision of the write fence as a condition, so once the fence has changed no
+// earlier write can succeed
 // (AnswerBound.AfterAWriteWithoutAnAnswerTheFenceIsRaisedFirst).
 void Committer::AdvanceWriteFence(OnFenceReply on_reply) {
   SteadyTime now = context_.now();
@@ -145,7 +147,8 @@
     write_fence_ = reply.revision;
     outcome_unknown_ = false;
   }
-  // What the lost write did, if it was carried out before the write fence.
+  // The lost write may have been carried out before the write fence was
+  // advanced: the read shows its effects.
   context_.state_watcher.AfterNextRead(lifetime_.Wrap([this](bool read) {
     busy_ = false;
     if (!read) outcome_unknown_ = true;
--- a/src/core/partition/failure_tracker.cc
+++ b/src/core/partition/failure_tracker.cc
@@ -6,19 +6,24 @@
 namespace pitchfall {
 namespace {
 
-// A job that has failed on so many machines is taken to be at fault itself.
+// A job is considered at fault once it has failed on this many machines.
 constexpr size_t kMachinesThatClearThem = 3;
-// Jobs without any success that fail on one machine before it is suspected.
+// A machine is considered at fault once this many jobs have failed there that
+// are not known to be at fault themselves.
 constexpr int kSuspectJobs = 3;
-// Errors of jobs that succeed elsewhere: a machine that has never completed
-// anything is at fault after one, another after two.
+// Failures of jobs with completed tasks after which a machine is considered at
+// fault: one if no task has ever completed on it, two otherwise.
 constexpr int kErrorsOfNewMachine = 1;
 constexpr int kErrorsOfProvenMachine = 2;
-// While a machine is avoided that may be at fault. Less than the 90 s after
-// which a task that waits beside free capacity counts as forgotten.
+// How long a job avoids a machine on which it has failed. Must be less than the
+// 90 s after which a task that waits despite free capacity counts as forgotten.
 constexpr Duration kAvoidAfterFailure = Millis(40000);
+// How long a service avoids a machine on which a replica that had run for a
+// while has ended.
 constexpr Duration kAvoidAfterReplicaEnd = Millis(10000);
-// Between tries of a job at fault, in seconds: grows with each failure.
+// The delay before a job at fault is retried, in seconds. It is the first value
+// multiplied by the growth factor for each failure of the job, at most the
+// last.
 constexpr double kFirstRetryS = 2.0;
 constexpr double kRetryGrowth = 1.5;
 constexpr double kLongestRetryS = 60.0;
@@ -70,9 +75,10 @@
   return failure;
 }
 
-// A job of which tasks have completed is not at fault. Of the others any may
-// be: only when several fail on the machine, none of them known to fail
-// everywhere, is it the machine.
+// A failure of a job with completed tasks is not the job's fault and counts
+// against the machine at once. Any other job may be faulty itself, so the
+// machine is at fault only if several jobs fail there that are not known to
+// fail everywhere.
 bool FailureTracker::MachineAtFault(const MachineFailures& machine) const {
   int enough = machine.succeeded ? kErrorsOfProvenMachine : kErrorsOfNewMachine;
   if (machine.errors >= enough) return true;
--- a/src/core/partition/failure_tracker.h
+++ b/src/core/partition/failure_tracker.h
@@ -1,8 +1,9 @@
-// Tells faulty jobs from faulty machines by which tasks end in errors where.
+// Tells faulty jobs from faulty machines by the jobs and machines of tasks that
+// end in errors.
 //
-// A job that was submitted with a mistake fails wherever it runs; a faulty
-// machine fails whatever it starts. A single error shows neither. What is known
-// here is not stored: a new owner learns it again.
+// A faulty job fails on every machine; on a faulty machine every job fails. A
+// single error shows neither. The counts are kept in memory only: a new owner
+// of the partition starts without any.
 #ifndef PITCHFALL_CORE_PARTITION_FAILURE_TRACKER_H_
 #define PITCHFALL_CORE_PARTITION_FAILURE_TRACKER_H_
 
@@ -16,60 +17,77 @@
 
 namespace pitchfall {
 
+// Counts failures by job and by machine, and decides which of the two is at
+// fault. Jobs and machines are given by their identifiers.
 class FailureTracker {
  public:
-  // A task of the job has completed on the machine. Returns the machines on
-  // which the job failed and that have completed nothing since: these are at
-  // fault.
+  // Records that a task of the job has completed on the machine, which clears
+  // the failures of both. Returns the machines at fault: those on which the job
+  // failed and that have completed no task since.
   std::vector<std::string> RecordSuccess(const std::string& machine,
                                          const std::string& job);
 
+  // What follows from a recorded failure. At most one of job and machine is at
+  // fault.
   struct Failure {
-    // The job fails everywhere and is not tried again before this has passed.
+    // Whether the job fails on whatever machine it runs.
     bool job_at_fault = false;
+    // The time before which the job should not be started again; zero if it is
+    // not at fault.
     Duration retry_in{0};
-    size_t machines = 0;  // on which the job has failed
-    // The machine is to be emptied and returned.
+    // The number of machines on which the job has failed since its last
+    // success.
+    size_t machines = 0;
+    // Whether the machine should be drained and returned to the cloud.
     bool machine_at_fault = false;
   };
-  // A task of the job has ended in an error on the machine. `job_succeeds`:
-  // other tasks of it have completed.
+  // Records that a task of the job has ended in an error on the machine.
+  // `job_succeeds` is whether other tasks of the job have completed.
   Failure RecordFailure(const std::string& machine, const std::string& job,
                         bool job_succeeds, SteadyTime now);
 
-  // Whether the job's tasks may be started again already.
+  // Returns whether tasks of the job may be started at `now`: false only while
+  // a job at fault waits for its next retry.
   bool MayRetry(const std::string& job, SteadyTime now) const;
-  // A replica of the job that had run well has ended on the machine: nobody is
-  // at fault, but the next one should start elsewhere.
+  // Records that a replica of the job that had run for a while has ended on the
+  // machine. Neither is at fault, but the next replica should start on another
+  // machine.
   void RecordReplicaEnd(const std::string& machine, const std::string& job,
                         SteadyTime now);
-  // Machines that should not be given the job's tasks for a while: where it has
-  // failed, as long as that may be the machines' fault. Not for ever, as there
-  // may be no others.
+  // Returns the machines on which no task of the job should be started at
+  // `now`: those on which it has ended lately. Empty if the job itself is at
+  // fault. Machines are avoided for a limited time, because there may be no
+  // others.
   std::set<std::string> MachinesToAvoid(const std::string& job,
                                         SteadyTime now) const;
-  // Jobs that fail everywhere, at most so many.
+  // Returns at most `most` jobs at fault, in the order of their identifiers.
   std::vector<std::string> FailingJobs(size_t most) const;
 
-  // Errors on the machine of jobs that have completed tasks elsewhere.
+  // Returns how many errors jobs with completed tasks had on the machine since
+  // its last success.
   int ErrorsOn(const std::string& machine) const;
-  // Jobs whose tasks ended in errors on the machine since its last success.
+  // Returns how many jobs failed on the machine since its last success.
   size_t FailedJobsOn(const std::string& machine) const;
 
+  // Drops the machine's failures and successes. Failures of jobs stay.
   void ForgetMachine(const std::string& machine) { machines_.erase(machine); }
 
  private:
+  // The failures of one job since a task of it last completed.
   struct JobFailures {
     std::set<std::string> failed_on;                // machines
     std::map<std::string, SteadyTime> avoid_until;  // by machine
     int failures = 0;
-    SteadyTime retry_at{};
+    SteadyTime retry_at{};  // the earliest start, if the job is at fault
     bool AtFault() const;
   };
+  // The failures on one machine since a task last completed there.
   struct MachineFailures {
-    std::set<std::string> failed_jobs;  // since the last success
-    int errors = 0;          // of those, by jobs that succeed elsewhere
-    bool succeeded = false;  // has ever completed a task for this owner
+    std::set<std::string> failed_jobs;
+    // The number of failures of jobs that have completed other tasks.
+    int errors = 0;
+    // Whether any task has completed on the machine for this owner.
+    bool succeeded = false;
   };
 
   bool MachineAtFault(const MachineFailures& machine) const;
