--- a/src/core/partition/failure_tracker.h
+++ b/src/core/partition/failure_tracker.h
@@ -55,9 +55,9 @@
   void RecordReplicaEnd(const std::string& machine, const std::string& job,
                         SteadyTime now);
   // Returns the machines on which no task of the job should be started at
-  // `now`: those on which it has ended lately. Empty if the job itself is at
-  // fault. Machines are avoided for a limited time, because there may be no
-  // others.
+  // `now`: those on which a task of it has failed or a replica has ended
+  // recently. Empty if the job itself is at fault. Machines are avoided for a
+  // limited time, because there may be no others.
   std::set<std::string> MachinesToAvoid(const std::string& job,
                                         SteadyTime now) const;
   // Returns at most `most` jobs at fault, in the order of their identifiers.
--- a/src/core/partition/fault_attribution.cc
+++ b/src/core/partition/fault_attribution.cc
@@ -3,7 +3,8 @@
 namespace pitchfall {
 namespace {
 
-// A replica that has run for so long was started successfully.
+// The running time after which a replica counts as proven: its start and its
+// machine were good.
 constexpr Duration kProvenRun = Millis(15000);
 
 }  // namespace
@@ -46,7 +47,8 @@
   RecordSuccess(machine.name, spec.id);
 }
 
-// A faulty machine fails whatever it starts: it is emptied and returned.
+// Every task started on a faulty machine would fail, so the machine gets no
+// more tasks and is drained and returned to the cloud.
 void FaultAttribution::Quarantine(const std::string& name) {
   Machine* machine = machines_.Find(name);
   if (machine == nullptr || machine->quarantined) return;
--- a/src/core/partition/fault_attribution.h
+++ b/src/core/partition/fault_attribution.h
@@ -1,5 +1,5 @@
-// Acts on failures: which machines are quarantined, which jobs wait before they
-// are tried again.
+// Quarantines machines that are at fault for failed tasks, and delays retries
+// of jobs that are.
 #ifndef PITCHFALL_CORE_PARTITION_FAULT_ATTRIBUTION_H_
 #define PITCHFALL_CORE_PARTITION_FAULT_ATTRIBUTION_H_
 
@@ -14,39 +14,44 @@
 
 namespace pitchfall {
 
-// Feeds stored outcomes of attempts to the failure tracker and carries out what
-// follows. The only writer of `Machine::quarantined`.
+// Passes the outcomes of attempts, once they are stored, to the failure
+// tracker, and acts on its verdicts. The only class that writes
+// `Machine::quarantined`.
 class FaultAttribution {
  public:
   FaultAttribution(Outbox& out, const StateCache& state_cache,
                    MachineRegistry& machines)
       : out_(out), state_cache_(state_cache), machines_(machines) {}
 
-  // A task of the job has completed on the machine.
+  // Records that a task of the job has completed on the machine.
   void RecordSuccess(const std::string& machine, const std::string& job);
-  // A task of the job has ended in an error on the machine.
+  // Records that a task of the job has ended in an error on the machine.
   void RecordFailure(const std::string& machine, const std::string& job);
-  // A replica that had proven itself has ended on the machine.
+  // Records that a replica has ended on the machine after it had run long
+  // enough to count as proven.
   void RecordReplicaEnd(const std::string& machine, const std::string& job);
-  // Replicas never complete. One that has run for a while stands for a task
-  // that has, when faulty jobs are told from faulty machines.
+  // Marks the attempt as proven, and records a success, once it is a replica
+  // that has run for a while. Replicas never complete, so this stands for the
+  // completion of a task when faulty jobs are told from faulty machines.
   void RecordReplicaRuns(const Machine& machine, BoundAttempt& attempt);
-  // The machine has been deleted.
+  // Drops what is known about the machine, which has been deleted.
   void ForgetMachine(const std::string& machine) {
     tracker_.ForgetMachine(machine);
   }
 
-  // What has been learned, for whoever only asks.
+  // The recorded failures, for reading only.
   const FailureTracker& tracker() const { return tracker_; }
 
  private:
+  // Has no effect if the machine is unknown or already quarantined.
   void Quarantine(const std::string& name);
 
   Outbox& out_;
   const StateCache& state_cache_;
   MachineRegistry& machines_;
   FailureTracker tracker_;
-  // Services of which a replica has run for a while.
+  // Identifiers of services of which a replica has run for a while on any of
+  // the partition's machines.
   std::set<std::string> proven_services_;
 };
 
--- a/src/core/partition/heartbeat_handler.cc
+++ b/src/core/partition/heartbeat_handler.cc
@@ -5,13 +5,15 @@
 namespace pitchfall {
 namespace {
 
-// Beyond this, plus three heartbeat intervals, a machine counts as silent.
+// A machine counts as silent after three heartbeat intervals and this margin.
 constexpr Duration kSilenceMargin = Millis(1000);
-// So many answers in one agent epoch, and the worker would have taken one.
+// The number of answers in one agent epoch of which a reachable worker would
+// have received at least one.
 constexpr int kAnswersBeforeDoubt = 3;
 
-// A worker that receives answers shows the fencing token and carries starts
-// out.
+// Returns whether the heartbeat shows no effect of answers sent before: the
+// worker has not taken this owner's fencing token, or an attempt whose start it
+// was sent in the same agent epoch has not been reported.
 bool IgnoresAnswers(const Machine& machine, const WorkerHeartbeat& heartbeat) {
   bool answered = machine.last_answer != SteadyTime{};
   if (answered && !machine.fencing_token_seen) return true;
@@ -49,16 +51,17 @@
   return true;
 }
 
-// The network may hold a heartbeat back and deliver it, or a copy of it,
-// minutes later. Accepting it would revive a machine whose lease has run out,
-// or show tasks that have ended since (OldHeartbeatsArriveAfterNewerOnes...).
+// The network may deliver a heartbeat, or a copy of one, minutes late. If it
+// were accepted, a machine whose lease has run out would count as alive again,
+// or tasks that have ended since as running
+// (OldHeartbeatsArriveAfterNewerOnesAndFromEarlierAgentEpochs).
 bool HeartbeatHandler::IsStale(const WorkerHeartbeat& heartbeat) const {
   if (machines_.WasDeleted(heartbeat.machine)) return true;
   const Machine* machine = machines_.Find(heartbeat.machine);
   if (machine == nullptr || !machine->heartbeat) return false;
   const WorkerHeartbeat& newest = *machine->heartbeat;
-  // Its lease has run out: the worker's next heartbeat is of a later agent
-  // epoch.
+  // The lease of this agent epoch has run out: the worker's next heartbeat has
+  // a later epoch.
   bool same_epoch = heartbeat.agent_epoch <= newest.agent_epoch;
   if (machine->gone && same_epoch) return true;
   return heartbeat.id() <= newest.id();
@@ -165,10 +168,11 @@
                    machine.images.contains(spec.image), ToSeconds(age));
 }
 
-// A machine may send heartbeats and receive no answer. That does not show in
-// any one heartbeat, since answers get lost; but one that receives them takes
-// the fencing token, carries starts out, and stays in its agent epoch as long
-// as it is answered (InboundCutMachine.IsDeletedAndItsWorkMoves).
+// A machine may be able to send heartbeats but not to receive the answers. A
+// single heartbeat cannot show this, because any answer may be lost. But a
+// worker that receives answers takes the fencing token, carries out starts, and
+// stays in its agent epoch as long as it is answered
+// (InboundCutMachine.IsDeletedAndItsWorkMoves).
 void HeartbeatHandler::UpdateInboundReachability(
     Machine& machine, const std::optional<WorkerHeartbeat>& before) {
   SteadyTime now = context_.now();
@@ -187,8 +191,9 @@
   }
 }
 
-// An agent begins a new epoch when its lease has run out. One that had been
-// answered in time should still be in the old one.
+// An agent begins a new epoch when its lease has run out. If it was answered
+// often enough and recently enough for the lease to be valid still, it has
+// probably not received the answers.
 void HeartbeatHandler::NoteNewAgentEpoch(Machine& machine) {
   SteadyTime now = context_.now();
   Duration lease = WithDrift(context_.deployment.worker_lease);
