--- a/src/core/partition/attempt_reconciler.cc
+++ b/src/core/partition/attempt_reconciler.cc
@@ -31,8 +31,8 @@
   return ends;
 }
 
-ChunkRecord AttemptReconciler::RecordAfter(const std::vector<AttemptEnd>& ends,
-                                           uint32_t chunk) const {
+ChunkRecord AttemptReconciler::RecordAfterEnds(
+    const std::vector<AttemptEnd>& ends, uint32_t chunk) const {
   const Job& job = *ends.front().attempt->job;
   bool service = job.spec().shape == Shape::kService;
   ChunkRecord record = job.FindChunk(chunk)->record;
@@ -54,7 +54,7 @@
     const Job& job = *ends.front().attempt->job;
     const JobSpec& spec = job.spec();
     if (!pending.MayChange(job, key.second)) continue;
-    ChunkRecord record = RecordAfter(ends, key.second);
+    ChunkRecord record = RecordAfterEnds(ends, key.second);
     // An earlier version stored the record when the limit on values was larger.
     // Its ends wait until enough of its attempts have ended for it to fit.
     if (!sizes_.FitsSegment(key.first, key.second, record)) continue;
--- a/src/core/partition/attempt_reconciler.h
+++ b/src/core/partition/attempt_reconciler.h
@@ -56,8 +56,8 @@
   EndsByChunk FindEnds();
   // Returns the chunk's record without these attempts and with the tasks that
   // completed marked as done. `ends` holds at least one.
-  ChunkRecord RecordAfter(const std::vector<AttemptEnd>& ends,
-                          uint32_t chunk) const;
+  ChunkRecord RecordAfterEnds(const std::vector<AttemptEnd>& ends,
+                              uint32_t chunk) const;
   // Adds what the end says about the job and the machine; nothing for an
   // attempt that was stopped or lost.
   void AddReport(PendingTransaction& pending, const AttemptEnd& end) const;
--- a/src/core/partition/chunk_transfer.cc
+++ b/src/core/partition/chunk_transfer.cc
@@ -9,16 +9,16 @@
 
 // After this time a waiting replica no longer relies on a transfer to another
 // partition, and may displace other tasks.
-constexpr Duration kTransferWait = Millis(1000);
+constexpr Duration kMaxTransferWait = Millis(1000);
 // The delay doubles with each transfer of the chunk, at most this many times.
 constexpr uint32_t kMaxDelayDoublings = 6;
 // After this many transfers to the partition with the most free processors, the
 // chunk is assumed to wait for something else.
-constexpr uint32_t kTransfersByCapacity = 2;
+constexpr uint32_t kMaxTransfersByCapacity = 2;
 
 }  // namespace
 
-Duration ChunkTransfer::DelayOf(const ChunkOwner& owner) const {
+Duration ChunkTransfer::TransferDelay(const ChunkOwner& owner) const {
   uint32_t doublings = std::min(owner.epoch, kMaxDelayDoublings);
   return context_.tuning.transfer_delay * (1 << doublings);
 }
@@ -31,7 +31,7 @@
   // need something that the capacity table does not show, such as a zone. Then
   // the partitions with capacity are tried in the order of their numbers.
   auto [partition, tasks] =
-      owner.epoch < kTransfersByCapacity
+      owner.epoch < kMaxTransfersByCapacity
           ? context_.capacity_table.MostFreeCapacity(spec, here, here, now)
           : context_.capacity_table.NextWithCapacity(spec, here, now);
   return {partition, tasks};
@@ -68,7 +68,7 @@
     if (owners[chunk].partition != term_.partition) continue;
     std::optional<uint32_t> waiting = WaitingTasks(pending, job, chunk);
     if (!waiting) continue;
-    if (context_.now() - waiting_since < DelayOf(owners[chunk])) continue;
+    if (context_.now() - waiting_since < TransferDelay(owners[chunk])) continue;
     Destination destination = FindDestination(spec, owners[chunk]);
     uint32_t moved = gang ? spec.tasks : *waiting;
     if (destination.tasks < (gang ? moved : 1)) break;
@@ -91,7 +91,7 @@
 bool ChunkTransfer::MayTransferSoon(const Job& job,
                                     SteadyTime waiting_since) const {
   SteadyTime now = context_.now();
-  if (now - waiting_since > kTransferWait) return false;
+  if (now - waiting_since > kMaxTransferWait) return false;
   auto [partition, tasks] = context_.capacity_table.MostFreeCapacity(
       job.spec(), term_.partition, term_.partition, now);
   return tasks > 0;
--- a/src/core/partition/chunk_transfer.h
+++ b/src/core/partition/chunk_transfer.h
@@ -45,7 +45,7 @@
   std::optional<uint32_t> WaitingTasks(const PendingTransaction& pending,
                                        const Job& job, uint32_t chunk) const;
   // Returns how long a chunk with this owner waits before it is transferred.
-  Duration DelayOf(const ChunkOwner& owner) const;
+  Duration TransferDelay(const ChunkOwner& owner) const;
   // Returns the partition to transfer a chunk with this owner to.
   Destination FindDestination(const JobSpec& spec,
                               const ChunkOwner& owner) const;
--- a/src/core/partition/committer.cc
+++ b/src/core/partition/committer.cc
@@ -27,7 +27,7 @@
 }  // namespace
 
 void Committer::Commit(PendingTransaction pending, Transaction transaction,
-                       OnCommitted on_committed) {
+                       CommitCallback on_committed) {
   SteadyTime now = context_.now();
   auto puts = static_cast<double>(transaction.writes.size());
   // The transaction is sent whatever the number of tokens; the budget stays in
@@ -121,7 +121,7 @@
 // revision of the write fence as a condition, so once the fence has changed no
 // earlier write can succeed
 // (AnswerBound.AfterAWriteWithoutAnAnswerTheFenceIsRaisedFirst).
-void Committer::AdvanceWriteFence(OnFenceReply on_reply) {
+void Committer::AdvanceWriteFence(FenceCallback on_reply) {
   SteadyTime now = context_.now();
   if (!context_.writes.Take(now, 1)) return;
   context_.requests.TakeOnCredit(now, 1);
--- a/src/core/partition/committer.h
+++ b/src/core/partition/committer.h
@@ -30,11 +30,11 @@
  public:
   // Called once with the outcome of a transaction, unless the committer is
   // destroyed first.
-  using OnCommitted =
+  using CommitCallback =
       std::function<void(CommitOutcome, const PendingTransaction&)>;
   // Called with whether the write fence has been advanced, unless the committer
   // is destroyed first.
-  using OnFenceReply = std::function<void(bool)>;
+  using FenceCallback = std::function<void(bool)>;
 
   Committer(Context& context, const OwnershipTerm& term)
       : context_(context), term_(term), last_write_(context.now()) {}
@@ -57,11 +57,11 @@
   // debt. If the transaction is stored, the state cache contains it before
   // `on_committed` is called.
   void Commit(PendingTransaction pending, Transaction transaction,
-              OnCommitted on_committed);
+              CommitCallback on_committed);
   // Writes the write fence's key again, so that no earlier write of this term
   // can be carried out any more, and then reads the state. Does nothing, and
   // does not call `on_reply`, while the write budget is used up.
-  void AdvanceWriteFence(OnFenceReply on_reply);
+  void AdvanceWriteFence(FenceCallback on_reply);
 
  private:
   CommitOutcome OnReply(const Transaction& transaction,
--- a/src/core/partition/failure_tracker.cc
+++ b/src/core/partition/failure_tracker.cc
@@ -7,13 +7,13 @@
 namespace {
 
 // A job is considered at fault once it has failed on this many machines.
-constexpr size_t kMachinesThatClearThem = 3;
+constexpr size_t kFailedMachinesOfFaultyJob = 3;
 // A machine is considered at fault once this many jobs have failed there that
 // are not known to be at fault themselves.
-constexpr int kSuspectJobs = 3;
+constexpr int kFailedJobsOfFaultyMachine = 3;
 // Failures of jobs with completed tasks after which a machine is considered at
 // fault: one if no task has ever completed on it, two otherwise.
-constexpr int kErrorsOfNewMachine = 1;
+constexpr int kErrorsOfUnprovenMachine = 1;
 constexpr int kErrorsOfProvenMachine = 2;
 // How long a job avoids a machine on which it has failed. Must be less than the
 // 90 s after which a task that waits despite free capacity counts as forgotten.
@@ -24,22 +24,22 @@
 // The delay before a job at fault is retried, in seconds. It is the first value
 // multiplied by the growth factor for each failure of the job, at most the
 // last.
-constexpr double kFirstRetryS = 2.0;
+constexpr double kRetryBaseS = 2.0;
 constexpr double kRetryGrowth = 1.5;
-constexpr double kLongestRetryS = 60.0;
+constexpr double kMaxRetryS = 60.0;
 
 }  // namespace
 
 bool FailureTracker::JobFailures::AtFault() const {
-  return failed_on.size() >= kMachinesThatClearThem;
+  return failed_on.size() >= kFailedMachinesOfFaultyJob;
 }
 
 std::vector<std::string> FailureTracker::RecordSuccess(
     const std::string& machine, const std::string& job) {
-  MachineFailures& here = machines_[machine];
-  here.failed_jobs.clear();
-  here.errors = 0;
-  here.succeeded = true;
+  MachineFailures& machine_failures = machines_[machine];
+  machine_failures.failed_jobs.clear();
+  machine_failures.errors = 0;
+  machine_failures.succeeded = true;
   std::vector<std::string> at_fault;
   auto known = jobs_.extract(job);
   if (known.empty()) return at_fault;
@@ -51,28 +51,29 @@
   return at_fault;
 }
 
-FailureTracker::Failure FailureTracker::RecordFailure(
+FailureTracker::FaultVerdict FailureTracker::RecordFailure(
     const std::string& machine, const std::string& job, bool job_succeeds,
     SteadyTime now) {
-  JobFailures& of_job = jobs_[job];
-  of_job.failed_on.insert(machine);
-  of_job.avoid_until[machine] = now + kAvoidAfterFailure;
-  of_job.failures += 1;
-  MachineFailures& here = machines_[machine];
-  here.failed_jobs.insert(job);
-  Failure failure;
-  failure.machines = of_job.failed_on.size();
-  if (of_job.AtFault()) {
-    double wait_s = std::min(
-        kLongestRetryS, kFirstRetryS * std::pow(kRetryGrowth, of_job.failures));
-    of_job.retry_at = now + Seconds(wait_s);
-    failure.job_at_fault = true;
-    failure.retry_in = Seconds(wait_s);
-    return failure;
+  JobFailures& job_failures = jobs_[job];
+  job_failures.failed_on.insert(machine);
+  job_failures.avoid_until[machine] = now + kAvoidAfterFailure;
+  job_failures.failures += 1;
+  MachineFailures& machine_failures = machines_[machine];
+  machine_failures.failed_jobs.insert(job);
+  FaultVerdict verdict;
+  verdict.machines = job_failures.failed_on.size();
+  if (job_failures.AtFault()) {
+    double wait_s =
+        std::min(kMaxRetryS,
+                 kRetryBaseS * std::pow(kRetryGrowth, job_failures.failures));
+    job_failures.retry_at = now + Seconds(wait_s);
+    verdict.job_at_fault = true;
+    verdict.retry_in = Seconds(wait_s);
+    return verdict;
   }
-  if (job_succeeds) here.errors += 1;
-  failure.machine_at_fault = MachineAtFault(here);
-  return failure;
+  if (job_succeeds) machine_failures.errors += 1;
+  verdict.machine_at_fault = MachineAtFault(machine_failures);
+  return verdict;
 }
 
 // A failure of a job with completed tasks is not the job's fault and counts
@@ -80,15 +81,16 @@
 // machine is at fault only if several jobs fail there that are not known to
 // fail everywhere.
 bool FailureTracker::MachineAtFault(const MachineFailures& machine) const {
-  int enough = machine.succeeded ? kErrorsOfProvenMachine : kErrorsOfNewMachine;
-  if (machine.errors >= enough) return true;
+  int error_threshold =
+      machine.succeeded ? kErrorsOfProvenMachine : kErrorsOfUnprovenMachine;
+  if (machine.errors >= error_threshold) return true;
   auto suspects =
       std::count_if(machine.failed_jobs.begin(), machine.failed_jobs.end(),
                     [this](const std::string& job) {
                       auto known = jobs_.find(job);
                       return known == jobs_.end() || !known->second.AtFault();
                     });
-  return suspects >= kSuspectJobs;
+  return suspects >= kFailedJobsOfFaultyMachine;
 }
 
 bool FailureTracker::MayRetry(const std::string& job, SteadyTime now) const {
@@ -112,10 +114,10 @@
   return avoid;
 }
 
-std::vector<std::string> FailureTracker::FailingJobs(size_t most) const {
+std::vector<std::string> FailureTracker::FailingJobs(size_t max_count) const {
   std::vector<std::string> failing;
   for (const auto& [job, failures] : jobs_) {
-    if (failing.size() >= most) break;
+    if (failing.size() >= max_count) break;
     if (failures.AtFault()) failing.push_back(job);
   }
   return failing;
--- a/src/core/partition/failure_tracker.h
+++ b/src/core/partition/failure_tracker.h
@@ -29,7 +29,7 @@
 
   // What follows from a recorded failure. At most one of job and machine is at
   // fault.
-  struct Failure {
+  struct FaultVerdict {
     // Whether the job fails on whatever machine it runs.
     bool job_at_fault = false;
     // The time before which the job should not be started again; zero if it is
@@ -43,8 +43,8 @@
   };
   // Records that a task of the job has ended in an error on the machine.
   // `job_succeeds` is whether other tasks of the job have completed.
-  Failure RecordFailure(const std::string& machine, const std::string& job,
-                        bool job_succeeds, SteadyTime now);
+  FaultVerdict RecordFailure(const std::string& machine, const std::string& job,
+                             bool job_succeeds, SteadyTime now);
 
   // Returns whether tasks of the job may be started at `now`: false only while
   // a job at fault waits for its next retry.
@@ -60,8 +60,9 @@
   // limited time, because there may be no others.
   std::set<std::string> MachinesToAvoid(const std::string& job,
                                         SteadyTime now) const;
-  // Returns at most `most` jobs at fault, in the order of their identifiers.
-  std::vector<std::string> FailingJobs(size_t most) const;
+  // Returns at most `max_count` jobs at fault, in the order of their
+  // identifiers.
+  std::vector<std::string> FailingJobs(size_t max_count) const;
 
   // Returns how many errors jobs with completed tasks had on the machine since
   // its last success.
--- a/src/core/partition/fault_attribution.cc
+++ b/src/core/partition/fault_attribution.cc
@@ -5,7 +5,7 @@
 
 // The running time after which a replica counts as proven: its start and its
 // machine were good.
-constexpr Duration kProvenRun = Millis(15000);
+constexpr Duration kMinProvenRunTime = Millis(15000);
 
 }  // namespace
 
@@ -21,27 +21,27 @@
   const Job* known = state_cache_.FindJob(job);
   bool job_succeeds =
       known != nullptr && (known->done > 0 || proven_services_.contains(job));
-  FailureTracker::Failure failure =
-      tracker_.RecordFailure(machine, job, job_succeeds, out_.now().steady);
-  if (failure.job_at_fault) {
-    out_.Log(LogLevel::kInfo,
-             "event=job_failing job={} machines={} retry_in={:.0f}", job,
-             failure.machines, ToSeconds(failure.retry_in));
+  FailureTracker::FaultVerdict verdict =
+      tracker_.RecordFailure(machine, job, job_succeeds, outbox_.now().steady);
+  if (verdict.job_at_fault) {
+    outbox_.Log(LogLevel::kInfo,
+                "event=job_failing job={} machines={} retry_in={:.0f}", job,
+                verdict.machines, ToSeconds(verdict.retry_in));
   }
-  if (failure.machine_at_fault) Quarantine(machine);
+  if (verdict.machine_at_fault) Quarantine(machine);
 }
 
 void FaultAttribution::RecordReplicaEnd(const std::string& machine,
                                         const std::string& job) {
-  tracker_.RecordReplicaEnd(machine, job, out_.now().steady);
+  tracker_.RecordReplicaEnd(machine, job, outbox_.now().steady);
 }
 
-void FaultAttribution::RecordReplicaRuns(const Machine& machine,
+void FaultAttribution::MarkProvenReplica(const Machine& machine,
                                          BoundAttempt& attempt) {
   const JobSpec& spec = attempt.job->spec();
   bool runs = spec.shape == Shape::kService && attempt.running_since;
   if (!runs || attempt.proven) return;
-  if (machine.heard - *attempt.running_since < kProvenRun) return;
+  if (machine.heard - *attempt.running_since < kMinProvenRunTime) return;
   attempt.proven = true;
   proven_services_.insert(spec.id);
   RecordSuccess(machine.name, spec.id);
@@ -53,8 +53,9 @@
   Machine* machine = machines_.Find(name);
   if (machine == nullptr || machine->quarantined) return;
   machine->quarantined = true;
-  out_.Log(LogLevel::kWarning, "event=quarantine machine={} errors={} jobs={}",
-           name, tracker_.ErrorsOn(name), tracker_.FailedJobsOn(name));
+  outbox_.Log(LogLevel::kWarning,
+              "event=quarantine machine={} errors={} jobs={}", name,
+              tracker_.ErrorsOn(name), tracker_.FailedJobsOn(name));
 }
 
 }  // namespace pitchfall
--- a/src/core/partition/fault_attribution.h
+++ b/src/core/partition/fault_attribution.h
@@ -19,9 +19,9 @@
 // `Machine::quarantined`.
 class FaultAttribution {
  public:
-  FaultAttribution(Outbox& out, const StateCache& state_cache,
+  FaultAttribution(Outbox& outbox, const StateCache& state_cache,
                    MachineRegistry& machines)
-      : out_(out), state_cache_(state_cache), machines_(machines) {}
+      : outbox_(outbox), state_cache_(state_cache), machines_(machines) {}
 
   // Records that a task of the job has completed on the machine.
   void RecordSuccess(const std::string& machine, const std::string& job);
@@ -33,7 +33,7 @@
   // Marks the attempt as proven, and records a success, once it is a replica
   // that has run for a while. Replicas never complete, so this stands for the
   // completion of a task when faulty jobs are told from faulty machines.
-  void RecordReplicaRuns(const Machine& machine, BoundAttempt& attempt);
+  void MarkProvenReplica(const Machine& machine, BoundAttempt& attempt);
   // Drops what is known about the machine, which has been deleted.
   void ForgetMachine(const std::string& machine) {
     tracker_.ForgetMachine(machine);
@@ -46,7 +46,7 @@
   // Has no effect if the machine is unknown or already quarantined.
   void Quarantine(const std::string& name);
 
-  Outbox& out_;
+  Outbox& outbox_;
   const StateCache& state_cache_;
   MachineRegistry& machines_;
   FailureTracker tracker_;
--- a/src/core/partition/heartbeat_handler.cc
+++ b/src/core/partition/heartbeat_handler.cc
@@ -9,7 +9,7 @@
 constexpr Duration kSilenceMargin = Millis(1000);
 // The number of answers in one agent epoch of which a reachable worker would
 // have received at least one.
-constexpr int kAnswersBeforeDoubt = 3;
+constexpr int kMinAnswersToSuspect = 3;
 
 // Returns whether the heartbeat shows no effect of answers sent before: the
 // worker has not taken this owner's fencing token, or an attempt whose start it
@@ -108,7 +108,7 @@
   if (const MachineType* type = context_.state_cache.FindType(heartbeat.type)) {
     machine.capacity = type->capacity;
   }
-  NotePreemptionNotice(machine);
+  RecordPreemptionNotice(machine);
   machine.unbound_use = {};
   for (const ReportedTask& task : heartbeat.tasks) {
     if (task.state == TaskState::kExited) continue;
@@ -128,7 +128,7 @@
   }
 }
 
-void HeartbeatHandler::NotePreemptionNotice(Machine& machine) {
+void HeartbeatHandler::RecordPreemptionNotice(Machine& machine) {
   const std::optional<Duration>& notice = machine.heartbeat->preemption_notice;
   if (!notice || machine.preemption_at) return;
   machine.preemption_at = machine.heard + *notice;
@@ -147,7 +147,7 @@
     attempt.running_since = machine.heard;
     LogReplicaUp(machine, entry);
   }
-  faults_.RecordReplicaRuns(machine, attempt);
+  faults_.MarkProvenReplica(machine, attempt);
   if (task.state != TaskState::kFetching) {
     machine.images.insert(attempt.job->spec().image);
   }
@@ -178,7 +178,7 @@
   SteadyTime now = context_.now();
   const WorkerHeartbeat& heartbeat = *machine.heartbeat;
   if (!before || before->agent_epoch != heartbeat.agent_epoch) {
-    NoteNewAgentEpoch(machine);
+    OnNewAgentEpoch(machine);
   }
   Duration stable_after = WithDrift(context_.deployment.worker_lease) +
                           2 * context_.deployment.heartbeat_interval;
@@ -194,11 +194,11 @@
 // An agent begins a new epoch when its lease has run out. If it was answered
 // often enough and recently enough for the lease to be valid still, it has
 // probably not received the answers.
-void HeartbeatHandler::NoteNewAgentEpoch(Machine& machine) {
+void HeartbeatHandler::OnNewAgentEpoch(Machine& machine) {
   SteadyTime now = context_.now();
   Duration lease = WithDrift(context_.deployment.worker_lease);
   bool answered_in_time =
-      machine.inbound.answers_in_epoch >= kAnswersBeforeDoubt &&
+      machine.inbound.answers_in_epoch >= kMinAnswersToSuspect &&
       now - machine.last_answer < lease;
   if (answered_in_time) {
     machine.inbound.epoch_ended_while_answered = true;
--- a/src/core/partition/heartbeat_handler.h
+++ b/src/core/partition/heartbeat_handler.h
@@ -55,7 +55,7 @@
                      std::pair<const TaskKey, BoundAttempt>& entry);
   // Sets the time at which the cloud will take the spot machine, from the first
   // heartbeat that announces it.
-  void NotePreemptionNotice(Machine& machine);
+  void RecordPreemptionNotice(Machine& machine);
   // Does nothing for jobs that are not services, nor for attempts that an
   // earlier owner bound, since their replicas may have been running before.
   void LogReplicaUp(const Machine& machine,
@@ -66,7 +66,7 @@
                                  const std::optional<WorkerHeartbeat>& before);
   // Handles the first heartbeat to this owner, or the first of a new agent
   // epoch.
-  void NoteNewAgentEpoch(Machine& machine);
+  void OnNewAgentEpoch(Machine& machine);
 
   Context& context_;
   const OwnershipTerm& term_;
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -14,8 +14,8 @@
 
 class FailureTrackerTest : public ::testing::Test {
  protected:
-  FailureTracker::Failure Fail(const std::string& machine,
-                               const std::string& job, bool job_succeeds) {
+  FailureTracker::FaultVerdict Fail(const std::string& machine,
+                                    const std::string& job, bool job_succeeds) {
     return tracker_.RecordFailure(machine, job, job_succeeds, now_);
   }
 
@@ -28,7 +28,7 @@
   EXPECT_FALSE(Fail("m-2", "run-1", kNeverSucceeded).job_at_fault);
   EXPECT_EQ(tracker_.MachinesToAvoid("run-1", now_).size(), 2u);
   EXPECT_TRUE(tracker_.MayRetry("run-1", now_));
-  FailureTracker::Failure third = Fail("m-3", "run-1", kNeverSucceeded);
+  FailureTracker::FaultVerdict third = Fail("m-3", "run-1", kNeverSucceeded);
   EXPECT_TRUE(third.job_at_fault);
   EXPECT_FALSE(third.machine_at_fault);
   EXPECT_EQ(third.machines, 3u);
@@ -43,7 +43,7 @@
 TEST_F(FailureTrackerTest, RetriesGrowRarerUpToAMinute) {
   Duration before{0};
   for (int i = 0; i < 30; ++i) {
-    FailureTracker::Failure failure =
+    FailureTracker::FaultVerdict failure =
         Fail("m-" + std::to_string(i), "run-1", kNeverSucceeded);
     if (!failure.job_at_fault) continue;
     EXPECT_GE(failure.retry_in, before);
