--- a/src/core/partition/chunk_transfer.cc
+++ b/src/core/partition/chunk_transfer.cc
@@ -7,16 +7,18 @@
 namespace pitchfall {
 namespace {
 
-// A replica waits so long at the most for another partition to take it.
-constexpr Duration kTransferWait = Millis(1000);
-// The delay doubles with each transfer of the chunk, up to so many times.
+// After this time a waiting replica no longer relies on a transfer to another
+// partition, and may displace other tasks.
+constexpr Duration kMaxTransferWait = Millis(1000);
+// The delay doubles with each transfer of the chunk, at most this many times.
 constexpr uint32_t kMaxDelayDoublings = 6;
-// After so many transfers the processors alone are not what it waits for.
-constexpr uint32_t kTransfersByCapacity = 2;
+// After this many transfers to the partition with the most free processors, the
+// chunk is assumed to wait for something else.
+constexpr uint32_t kMaxTransfersByCapacity = 2;
 
 }  // namespace
 
-Duration ChunkTransfer::DelayOf(const ChunkOwner& owner) const {
+Duration ChunkTransfer::TransferDelay(const ChunkOwner& owner) const {
   uint32_t doublings = std::min(owner.epoch, kMaxDelayDoublings);
   return context_.tuning.transfer_delay * (1 << doublings);
 }
@@ -25,10 +27,11 @@
     const JobSpec& spec, const ChunkOwner& owner) const {
   SteadyTime now = context_.now();
   uint32_t here = term_.partition;
-  // What keeps it waiting may be more than the number of processors, such as
-  // the zone: then one partition after the other is tried.
+  // A chunk that several partitions with free processors could not start may
+  // need something that the capacity table does not show, such as a zone. Then
+  // the partitions with capacity are tried in the order of their numbers.
   auto [partition, tasks] =
-      owner.epoch < kTransfersByCapacity
+      owner.epoch < kMaxTransfersByCapacity
           ? context_.capacity_table.MostFreeCapacity(spec, here, here, now)
           : context_.capacity_table.NextWithCapacity(spec, here, now);
   return {partition, tasks};
@@ -51,7 +54,8 @@
                                  SteadyTime waiting_since) {
   if (context_.partition_count == 1 || !pending.MayAddPut()) return;
   const JobSpec& spec = job.spec();
-  // A gang moves as a whole, and only while none of it runs.
+  // The chunks of a gang are transferred together, and only while none of its
+  // tasks is bound to a machine.
   bool gang = spec.shape == Shape::kGang;
   if (gang && job.assigned > 0) return;
   std::vector<ChunkOwner> owners;
@@ -64,7 +68,7 @@
     if (owners[chunk].partition != term_.partition) continue;
     std::optional<uint32_t> waiting = WaitingTasks(pending, job, chunk);
     if (!waiting) continue;
-    if (context_.now() - waiting_since < DelayOf(owners[chunk])) continue;
+    if (context_.now() - waiting_since < TransferDelay(owners[chunk])) continue;
     Destination destination = FindDestination(spec, owners[chunk]);
     uint32_t moved = gang ? spec.tasks : *waiting;
     if (destination.tasks < (gang ? moved : 1)) break;
@@ -87,7 +91,7 @@
 bool ChunkTransfer::MayTransferSoon(const Job& job,
                                     SteadyTime waiting_since) const {
   SteadyTime now = context_.now();
-  if (now - waiting_since > kTransferWait) return false;
+  if (now - waiting_since > kMaxTransferWait) return false;
   auto [partition, tasks] = context_.capacity_table.MostFreeCapacity(
       job.spec(), term_.partition, term_.partition, now);
   return tasks > 0;
