--- a/src/core/partition/load_reporter.cc
+++ b/src/core/partition/load_reporter.cc
@@ -9,16 +9,19 @@
 namespace pitchfall {
 namespace {
 
-// A job's id in a load record, with quotes and comma.
+// The JSON size of a job identifier in a load record, with quotes and comma.
 constexpr size_t kFailingJobBytes = 28;
 
-// Processors of a partition, by what they are used for.
+// The processors of a partition's machines by use, in the unit of
+// Resources::cpus.
 struct CpuUse {
   int64_t total = 0;
-  int64_t closed = 0;  // free, but on machines that take no tasks
+  int64_t closed = 0;  // free, but on machines that accept no tasks
+  // Bound to attempts that no heartbeat has shown yet.
   int64_t starting = 0;
   int64_t fetching = 0;
   int64_t running = 0;
+  // Bound to attempts that are saving a checkpoint or have exited.
   int64_t ended = 0;
 
   void Add(const BoundAttempt& attempt) {
--- a/src/core/partition/load_reporter.h
+++ b/src/core/partition/load_reporter.h
@@ -1,4 +1,5 @@
-// Stores what the partition's jobs ask for, once a period, for the autoscaler.
+// Reports the partition's resource demand to the autoscaler once per sizing
+// period.
 #ifndef PITCHFALL_CORE_PARTITION_LOAD_REPORTER_H_
 #define PITCHFALL_CORE_PARTITION_LOAD_REPORTER_H_
 
@@ -12,6 +13,8 @@
 
 namespace pitchfall {
 
+// The report is a load record that is stored with the partition's next
+// transaction.
 class LoadReporter {
  public:
   LoadReporter(Context& context, const OwnershipTerm& term,
@@ -21,23 +24,27 @@
         machines_(machines),
         failures_(failures) {}
 
-  // Adds this period's load record unless it has been stored already or the
-  // transaction takes no more puts.
+  // Adds the load record of the current sizing period to `pending`. Does
+  // nothing if that record has been stored already or the transaction has no
+  // room for another put.
   void AddLoad(PendingTransaction& pending) const;
-  // The transaction has been stored: counts its starts, and begins a new period
-  // if it held a load record.
+  // Must be called once a transaction has been stored. Counts its starts, and
+  // resets the counters first if it held a load record.
   void OnStored(const PendingTransaction& pending);
 
  private:
-  // How the partition's capacity is used.
+  // Logs how the partition's processors are used.
   void LogLoad(const LoadRecord& load) const;
 
   Context& context_;
   const OwnershipTerm& term_;
   const MachineRegistry& machines_;
   const FailureTracker& failures_;
+  // The period of the last stored load record, counted from the epoch of the
+  // wall clock; 0 before this owner's first.
   uint64_t reported_period_ = 0;
-  // Since the last load record.
+  // The tasks started since the last stored load record, and the sum of the
+  // times that they had waited.
   uint32_t started_ = 0;
   Duration waited_{0};
 };
--- a/src/core/partition/machine_drainer.cc
+++ b/src/core/partition/machine_drainer.cc
@@ -7,13 +7,15 @@
 namespace pitchfall {
 namespace {
 
-// A start does not count for users if the task is stopped sooner.
+// The time for which a task must have run before it is drained: users do not
+// count a start if the task is stopped sooner.
 constexpr Duration kMinRunBeforeDrain = Millis(32000);
-// Less work than this, beyond the time to save, is not worth a new start.
+// The remaining work, beyond the time to save a checkpoint, below which a new
+// start elsewhere does not pay.
 constexpr Duration kMinWorkToDrain = Millis(10000);
-// Replicas on their way from one machine at any moment.
+// How many replicas of one machine may be stopping at the same time.
 constexpr int kMaxDrainingReplicas = 2;
-// Beyond two heartbeat intervals, for a stop to reach the worker.
+// Added to two heartbeat intervals for a stop command to reach the worker.
 constexpr Duration kStopMargin = Millis(2000);
 
 bool IsReplica(const BoundAttempt& attempt) {
@@ -39,9 +41,6 @@
          *machine.preemption_at - context_.now() < StopDelay();
 }
 
-// Replicas would never end: those on a machine that is to go run elsewhere, as
-// soon as another machine has capacity. A few at a time, so that each finds its
-// place free.
 void MachineDrainer::DrainReplicas(Machine& machine) {
   auto draining = std::ranges::count_if(machine.bound, [](const auto& entry) {
     return IsReplica(entry.second) && entry.second.drain_requested;
@@ -60,8 +59,6 @@
   }
 }
 
-// Whether another machine in the same zone, where the job's rules surely allow
-// it, has capacity for one of its tasks.
 bool MachineDrainer::HasCapacityElsewhere(const Machine& machine,
                                           const JobSpec& spec) const {
   SteadyTime now = context_.now();
@@ -74,8 +71,6 @@
   });
 }
 
-// What is left on a cordoned machine keeps it rented. Tasks with checkpoints go
-// on elsewhere if nothing else is left there.
 void MachineDrainer::DrainCheckpointed(Machine& machine) {
   if (!WorthMoving(machine)) return;
   for (auto& [key, attempt] : machine.bound) {
@@ -87,8 +82,6 @@
   }
 }
 
-// Moving costs the saving, a fetch of the image and a new start. So none of the
-// tasks may have only begun, and at least one must have much left to do.
 bool MachineDrainer::WorthMoving(const Machine& machine) const {
   SteadyTime now = context_.now();
   bool worth = false;
--- a/src/core/partition/machine_health.cc
+++ b/src/core/partition/machine_health.cc
@@ -10,14 +10,17 @@
 
 // Added to a worker's lease before it counts as expired.
 constexpr Duration kLeaseMargin = Millis(500);
+// The time between two searches for machines to delete, and the delays before
+// the next search once a call has succeeded or failed.
 constexpr Duration kDeleteInterval = Millis(500);
 constexpr Duration kAfterDeletion = Millis(300);
 constexpr Duration kAfterFailedDeletion = Millis(2000);
-// Beyond three heartbeat intervals.
+// Added to three heartbeat intervals before a machine counts as silent.
 constexpr Duration kSilenceMargin = Millis(2000);
-// Names in one call to the cloud.
+// The largest number of machine names in one call to the cloud.
 constexpr size_t kMaxDeletedAtOnce = 100;
-// Of all machines, at most one in so many is believed to receive no answers.
+// If more than one machine in so many (and more than one in all) seem to
+// receive no answers, none is deleted for that reason.
 constexpr size_t kUnreachableShare = 4;
 
 }  // namespace
@@ -39,9 +42,11 @@
   bool answered = machine.last_answer != SteadyTime{};
   bool lease_expired = answered && machine.pending_request == 0 &&
                        now - machine.last_answer > lease;
-  // What an earlier owner last answered on (AnswerEntitlement) it knew before
-  // this ownership began, or it would have known of that. The leases that it
-  // renewed have expired by now, whether or not their workers can be asked.
+  // A former owner may answer workers only while it knows every cancellation
+  // that may have been confirmed (AnswerEntitlement). The state on which it
+  // last answered is older than this ownership, or it would have known of the
+  // new owner. So every lease that it renewed has expired once the time limit
+  // of a cancellation has passed, whether or not the workers can be reached.
   bool former_leases_expired =
       now - term_.since > WithDrift(context_.deployment.cancel);
   bool never_heard = !machine.heartbeat && !machine.bound.empty();
@@ -68,8 +73,6 @@
   return context_.now() - *machine.inbound.suspect_since > limit;
 }
 
-// If most have fallen silent at once it is more likely the network; if many
-// receive no answers, it is more likely this controller that answers too late.
 MachineHealth::Survey MachineHealth::SurveyMachines() const {
   Duration recent = 2 * context_.deployment.heartbeat_interval;
   size_t heard = 0;
@@ -109,7 +112,6 @@
   for (auto& [name, machine] : machines_.machines()) {
     if (names.size() >= kMaxDeletedAtOnce) break;
     const char* reason = ReasonToDelete(machine, survey);
-    // Once asked for, a deletion may come any time: it is asked for again.
     if (reason == nullptr && !machine.deleting) continue;
     if (!machine.deleting) {
       context_.out.Log(LogLevel::kInfo,
--- a/src/core/partition/machine_health.h
+++ b/src/core/partition/machine_health.h
@@ -1,4 +1,5 @@
-// Decides which machines are lost, and deletes those that are of no more use.
+// Decides which machines are lost, and deletes those that are no longer usable
+// or needed.
 #ifndef PITCHFALL_CORE_PARTITION_MACHINE_HEALTH_H_
 #define PITCHFALL_CORE_PARTITION_MACHINE_HEALTH_H_
 
@@ -16,8 +17,9 @@
 
 namespace pitchfall {
 
-// The only writer of `Machine::cordoned`, `gone` (but for heartbeats, which
-// bring a machine back) and `deleting`.
+// The only writer of `Machine::cordoned`, `Machine::deleting` and
+// `Machine::gone`, except that HeartbeatHandler clears `gone` when it accepts a
+// heartbeat.
 class MachineHealth {
  public:
   MachineHealth(Context& context, const OwnershipTerm& term,
@@ -29,34 +31,49 @@
         responder_(responder),
         reschedule_(reschedule) {}
 
-  // Whether the leader wants the machine returned.
+  // Takes over from the state cache whether the leader wants the machine
+  // returned to the cloud.
   void UpdateCordon(Machine& machine);
-  // Declares the machine gone once its worker's lease must have expired. That
-  // proves that nothing bound to it runs any more.
+  // Marks the machine as gone once its worker's lease must have expired, which
+  // proves that no task bound to it runs any more.
   void UpdateLease(Machine& machine);
-  // Whether the machine has been deleted and nothing is bound to it any more.
+  // Whether the machine can be removed from the registry: its deletion has been
+  // requested, no task runs on it and none is bound to it.
   static bool IsForgettable(const Machine& machine) {
     return machine.gone && machine.deleting && machine.bound.empty();
   }
-  // Asks the cloud to delete machines that are silent, drained, or receive no
-  // answers. One call at a time, within the budget of cloud calls.
+  // Asks the cloud to delete machines that send no heartbeats, are drained, or
+  // receive no answers. At most one call is in flight, and every call takes a
+  // token from the budget of cloud calls.
   void DeleteMachines();
 
  private:
-  // What can be said of all machines together.
+  // Whether the symptoms of single machines are plausible, given how many
+  // machines show them at the same time.
   struct Survey {
+    // False if most machines are silent: a network fault is more likely.
     bool silence_believable = true;
+    // False if many machines seem to receive no answers: it is more likely that
+    // this controller answers too late.
     bool unreachability_believable = true;
   };
   Survey SurveyMachines() const;
-  // Why the machine should be deleted; null if it should not.
+  // The `reason=` value of the log line if the machine should be deleted, or
+  // null if it should stay.
   const char* ReasonToDelete(const Machine& machine,
                              const Survey& survey) const;
-  // Marks machines as being deleted and returns their names.
+  // Marks the machines to delete as `deleting` and returns their names, at most
+  // as many as one call takes. Includes machines whose deletion was requested
+  // before: it may take effect at any moment, so it is repeated until it is
+  // confirmed.
   std::vector<std::string> ChooseMachinesToDelete();
   void OnDeleteReply(const std::vector<std::string>& names,
                      const CloudReply& reply);
+  // Whether the machine has shown no sign of receiving answers for longer than
+  // a lease.
   bool InboundUnreachable(const Machine& machine) const;
+  // The time since the machine's last heartbeat, or since this ownership began
+  // if that is later.
   Duration SilenceOf(const Machine& machine) const;
 
   Context& context_;
@@ -66,7 +83,7 @@
   RescheduleSignal& reschedule_;
   LifetimeGuard lifetime_;
   bool call_pending_ = false;
-  SteadyTime next_call_{};
+  SteadyTime next_call_{};  // no deletion is requested before
 };
 
 }  // namespace pitchfall
--- a/src/core/partition/machine_registry.h
+++ b/src/core/partition/machine_registry.h
@@ -12,18 +12,19 @@
 namespace pitchfall {
 
 // Holds every machine that has sent a heartbeat to this owner or to which
-// stored records bind tasks. References to machines stay valid until `Erase`.
+// stored records bind tasks. References to a machine stay valid until it is
+// erased.
 class MachineRegistry {
  public:
   using Machines = std::map<std::string, Machine>;
 
-  // The machine of that name, added if it is not known yet.
+  // Returns the machine of that name, which is added if it is not known yet.
   Machine& GetOrAdd(const std::string& name) {
     Machine& machine = machines_[name];
     machine.name = name;
     return machine;
   }
-  // Null if the machine is not known.
+  // Returns null if the machine is not known.
   Machine* Find(const std::string& name) {
     auto found = machines_.find(name);
     return found == machines_.end() ? nullptr : &found->second;
@@ -32,30 +33,31 @@
     auto found = machines_.find(name);
     return found == machines_.end() ? nullptr : &found->second;
   }
-  // Returns the position after the erased one.
+  // Returns the position after the removed machine.
   Machines::iterator Erase(Machines::iterator position) {
     return machines_.erase(position);
   }
 
-  // In the order of their names.
+  // Ordered by name.
   Machines& machines() { return machines_; }
   const Machines& machines() const { return machines_; }
 
-  // The cloud has confirmed the machine's deletion. Names are never used again,
-  // so this is remembered for good.
+  // Records that the cloud has confirmed the machine's deletion. This is kept
+  // as long as the registry exists, as the cloud never reuses a name.
   void MarkDeleted(const std::string& name) { deleted_.insert(name); }
   bool WasDeleted(const std::string& name) const {
     return deleted_.contains(name);
   }
 
-  // Drops what the transaction being built would have used.
+  // Resets the planned use of every machine, which belongs to the transaction
+  // being built.
   void ForgetPlanned() {
     for (auto& [name, machine] : machines_) {
       machine.planned = {};
     }
   }
 
-  // What machines that take tasks have left for more.
+  // The free processors of the machines that accept tasks at `now`.
   FreeCapacity Free(SteadyTime now) const {
     FreeCapacity free;
     for (const auto& [name, machine] : machines_) {
--- a/src/core/partition/ownership_term.h
+++ b/src/core/partition/ownership_term.h
@@ -1,4 +1,4 @@
-// One ownership of a partition by this process.
+// The identity of one ownership of a partition by this process.
 #ifndef PITCHFALL_CORE_PARTITION_OWNERSHIP_TERM_H_
 #define PITCHFALL_CORE_PARTITION_OWNERSHIP_TERM_H_
 
@@ -8,12 +8,12 @@
 
 namespace pitchfall {
 
-// Begins when this process finds itself named as the owner, and ends with any
-// change of owner. A later term has a higher fencing token.
+// A term begins when this process finds itself named as the partition's owner,
+// and ends with any change of owner. A later term has a higher fencing token.
 struct OwnershipTerm {
   uint32_t partition = 0;
   uint64_t fencing_token = 0;
-  SteadyTime since{};
+  SteadyTime since{};  // when this process found itself named as the owner
 };
 
 }  // namespace pitchfall
--- a/src/core/partition/partition.cc
+++ b/src/core/partition/partition.cc
@@ -11,18 +11,20 @@
 
 constexpr Duration kReconcileInterval = Millis(40);
 constexpr Duration kScheduleInterval = Millis(80);
-// While nothing has changed.
+// How much longer than that a scheduling pass is put off while nothing changes.
 constexpr Duration kIdleScheduleInterval = Millis(250);
-// After a write that was not carried out.
+// The delay after a write that was not carried out.
 constexpr Duration kWriteRetryDelay = Millis(150);
-// A heartbeat waits so long for tokens of the write budget before it is
-// answered without what they would have stored.
+// How long a heartbeat waits for tokens of the write budget before it is
+// answered without the changes that they would have paid for.
 constexpr Duration kMaxHoldWithoutTokens = Millis(600);
-// What a worker holds and what is stored differ for a moment.
+// How long a machine is given no tasks after it has refused a start: for a
+// moment what its worker holds differs from what is stored.
 constexpr Duration kPauseAfterRefusal = Millis(2000);
-// The state service takes four conditions for each operation of a transaction.
-// One of each four stays for segments, teams and ends; the partition and its
-// write fence are conditions too.
+// The state service accepts four conditions for each operation of a
+// transaction. Three of them may be jobs whose tasks start; the fourth is left
+// for segments, teams and ends. The partition and its write fence add two
+// conditions to every transaction.
 constexpr size_t kJobConditionsPerOperation = 3;
 constexpr size_t kOwnConditions = 2;
 
@@ -92,7 +94,8 @@
   SteadyTime now = context_.now();
   if (now < next_reconcile_) return;
   next_reconcile_ = now + kReconcileInterval;
-  // Without tokens nothing that would be stored is worth the full wait.
+  // Without write tokens nothing is stored, so holding a heartbeat for the
+  // full time gains nothing.
   Duration hold = short_of_write_tokens_ ? kMaxHoldWithoutTokens
                                          : context_.tuning.heartbeat_hold;
   responder_.AnswerHeartbeats(now - hold);
@@ -117,12 +120,14 @@
   size_t operations = context_.state_limits.Operations();
   size_t conditions = kJobConditionsPerOperation * operations;
   TransactionBudget budget;
-  // One token is for the segment. What goes beyond the tokens at hand is
-  // borrowed, so that a finished job need not wait until nothing else changes.
+  // One token pays for the segment. Puts beyond the available tokens are
+  // borrowed; otherwise a finished job would have to wait for a transaction
+  // that changes nothing else.
   budget.max_puts =
       std::min<size_t>(static_cast<size_t>(write_tokens) + 1, operations / 2);
   budget.max_starting_jobs = conditions - std::min(conditions, kOwnConditions);
-  // So that at least something gets through.
+  // After a refusal for size the next transaction is made as small as possible,
+  // so that it is accepted.
   if (last_write_too_large_) budget.max_puts = budget.max_starting_jobs = 1;
   budget.max_chunks = max_chunks_;
   return budget;
@@ -133,8 +138,9 @@
   double tokens = context_.writes.Available(now);
   short_of_write_tokens_ = tokens < 1;
   if (short_of_write_tokens_) {
-    // Due at every step, so that it is this partition's turn as soon as there
-    // is a token (Operations.PartitionsOfOneOwnerTakeTurnsToWrite).
+    // Scheduling stays due at every call, so that this partition gets its turn
+    // as soon as there is a token
+    // (Operations.PartitionsOfOneOwnerTakeTurnsToWrite).
     reschedule_.Raise();
     return;
   }
@@ -148,8 +154,9 @@
   PreemptTasks(jobs);
   PendingTransaction pending = DraftTransaction(budget, jobs);
   auto transaction = builder_.Build(pending, committer_.write_fence());
-  // Ends free capacity and are the last to be left out, but there may be more
-  // of them than one transaction takes: then half as many, until they fit.
+  // Ends free capacity and are therefore the last changes to be left out. If
+  // there are more of them than one transaction can hold, the number of chunks
+  // is halved until they fit.
   while (!transaction && max_chunks_ > 1 && !pending.chunks.empty()) {
     max_chunks_ = std::min(max_chunks_, pending.chunks.size() + 1) / 2;
     budget.max_chunks = max_chunks_;
@@ -223,14 +230,15 @@
     case CommitOutcome::kStored:
       load_reporter_.OnStored(pending);
       RecordReports(pending);
-      // As many as fit again, by and by.
+      // The number of chunks rises again step by step.
       max_chunks_ = pending.chunks.size() < max_chunks_
                         ? TransactionBudget::kUnlimited
                         : 2 * max_chunks_;
       responder_.AnswerHeartbeats(sent);
       break;
     case CommitOutcome::kTooLarge:
-      // By a limit that is not known here: what is decided next is little.
+      // The transaction exceeded a limit that is not known here, so the next
+      // one changes less.
       max_chunks_ = std::max<size_t>(1, pending.chunks.size() / 2);
       next_schedule_ = context_.now() + kWriteRetryDelay;
       break;
@@ -239,7 +247,7 @@
       break;
     case CommitOutcome::kConflict:
     case CommitOutcome::kUnknown:
-      break;  // the committer reads before the next write
+      break;  // the committer reads the state before the next write
   }
 }
 
--- a/src/core/partition/partition.h
+++ b/src/core/partition/partition.h
@@ -1,13 +1,15 @@
-// One partition of the cluster as its owner runs it: the machines that hash
-// into it, and the chunks of jobs that it owns.
+// The control loop of one partition of the cluster, run by the partition's
+// owner. A partition consists of the machines whose names hash into it and the
+// chunks of jobs that it owns.
 //
-// Everything is decided by comparing what is stored with the machines' newest
-// heartbeats. One transaction at a time carries the outcome: ends, new
-// assignments, finished jobs; it depends on the partition's fencing token, on
-// the modification revisions of the segments that it overwrites and on those of
-// the jobs whose tasks start. Nobody else writes what the partition owns, so
-// nothing else can have changed. Heartbeats are answered after it, so that
-// starts and acknowledgements follow what is stored.
+// Each pass compares the stored state with the machines' newest heartbeats and
+// stores its decisions (ended attempts, new assignments, finished jobs) in one
+// transaction, of which at most one is in flight. Its conditions are the
+// partition's fencing token, the modification revisions of the segments that it
+// overwrites and those of the jobs whose tasks start. No other process writes
+// what the partition owns, so nothing else can have changed. Heartbeats are
+// answered after the transaction, so that start commands and acknowledgements
+// follow from what is stored.
 #ifndef PITCHFALL_CORE_PARTITION_PARTITION_H_
 #define PITCHFALL_CORE_PARTITION_PARTITION_H_
 
@@ -39,22 +41,26 @@
 
 namespace pitchfall {
 
-// Exists from the moment at which the state cache names this process as the
-// owner until it names another.
+// An object of this class exists from the moment at which the state cache names
+// this process as the owner until it names another one.
 class Partition {
  public:
   Partition(Context& context, uint32_t number, uint64_t fencing_token);
-  // Refuses the heartbeats that still wait for their answers.
+  // Refuses the heartbeats that still wait for an answer.
   ~Partition();
   Partition(const Partition&) = delete;
   Partition& operator=(const Partition&) = delete;
 
+  // Answers `request` later, once the decisions that follow from the heartbeat
+  // have been stored, or refuses it at once.
   void OnWorkerHeartbeat(RequestId request, const WorkerHeartbeat& heartbeat);
-  // Another controller claims to own the partition by this fencing token.
+  // Must be called when another controller claims to own the partition by this
+  // fencing token. `label` names the controller.
   void OnPeerClaim(const std::string& label, uint64_t fencing_token) {
     entitlement_.OnPeerClaim(label, fencing_token);
   }
-  // Does what is due. To be called at least every few tens of milliseconds.
+  // Does the periodic work that is due. Must be called at least every few tens
+  // of milliseconds.
   void Step();
 
   uint32_t number() const { return term_.partition; }
@@ -62,25 +68,39 @@
   const MachineRegistry::Machines& machines() const {
     return machines_.machines();
   }
+  // The free processors of the machines that accept tasks now.
   FreeCapacity Free() const { return machines_.Free(context_.now()); }
-  // When a worker was last heard. Owners that their workers cannot reach hand
-  // the partition over.
+  // When the last heartbeat was accepted; before any, when the ownership began.
+  // An owner that its workers cannot reach hands the partition over.
   SteadyTime last_heard() const { return heartbeats_.last_heard(); }
-  // When it last sent a transaction; before any, when it was taken over.
+  // When the last transaction was sent; before any, when the ownership began.
   SteadyTime last_write() const { return committer_.last_write(); }
 
  private:
+  // Answers heartbeats that have waited long enough, updates the state of every
+  // machine, and sends the calls that follow: deletions and direct stops.
   void ReconcileMachines();
+  // Decides on preemptions, ends and starts, and sends the transaction that
+  // stores them.
   void ScheduleTasks();
+  // What one transaction may change when the write budget holds
+  // `write_tokens`, at least 1.
   TransactionBudget BudgetFor(double write_tokens) const;
+  // Marks the bound attempts that should stop for more important work of their
+  // team, and no others, as preempted.
   void PreemptTasks(const std::vector<const Job*>& jobs);
+  // Decides anew, within the budget, what the next transaction changes. `jobs`
+  // come in the order in which they should get capacity.
   PendingTransaction DraftTransaction(const TransactionBudget& budget,
                                       const std::vector<const Job*>& jobs);
+  // Resets the planned use of machines and quotas.
   void ForgetPlanned();
+  // Handles the outcome of a transaction that was sent at `sent`.
   void OnCommitted(CommitOutcome outcome, const PendingTransaction& pending,
                    SteadyTime sent);
-  // Learns from the attempts whose ends have been stored.
+  // Passes the stored ends of attempts on to the fault attribution.
   void RecordReports(const PendingTransaction& pending);
+  // Keeps tasks from a machine for a moment after it has refused a start.
   void PauseAfterRefusal(const AttemptReport& report);
 
   Context& context_;
@@ -102,12 +122,14 @@
   Committer committer_;
   FencingTokenAnnouncer announcer_;
 
-  // Chunks that one transaction may change; falls when one does not fit.
+  // The number of chunks that one transaction may change. It is halved when a
+  // transaction does not fit, and doubled when one is stored.
   size_t max_chunks_ = TransactionBudget::kUnlimited;
   bool last_write_too_large_ = false;
+  // Whether the last scheduling pass found no token in the write budget.
   bool short_of_write_tokens_ = false;
-  SteadyTime next_schedule_{};
-  SteadyTime next_reconcile_{};
+  SteadyTime next_schedule_{};   // no scheduling pass begins before
+  SteadyTime next_reconcile_{};  // machines are not reconciled before
 };
 
 }  // namespace pitchfall
