--- a/src/core/partition/partition.h
+++ b/src/core/partition/partition.h
@@ -123,10 +123,11 @@
   FencingTokenAnnouncer announcer_;
 
   // The number of chunks that one transaction may change. It is halved when a
-  // transaction does not fit, and doubled when one is stored.
+  // transaction does not fit, and raised again when one is stored.
   size_t max_chunks_ = TransactionBudget::kUnlimited;
   bool last_write_too_large_ = false;
-  // Whether the last scheduling pass found no token in the write budget.
+  // Whether the write budget held less than one token when a scheduling pass
+  // was last due.
   bool short_of_write_tokens_ = false;
   SteadyTime next_schedule_{};   // no scheduling pass begins before
   SteadyTime next_reconcile_{};  // machines are not reconciled before
--- a/src/core/partition/pending_transaction.h
+++ b/src/core/partition/pending_transaction.h
@@ -1,4 +1,4 @@
-// Changes that a partition is about to store together.
+// The changes that a partition is about to store in one transaction.
 #ifndef PITCHFALL_CORE_PARTITION_PENDING_TRANSACTION_H_
 #define PITCHFALL_CORE_PARTITION_PENDING_TRANSACTION_H_
 
@@ -17,33 +17,36 @@
 
 namespace pitchfall {
 
-// How much one transaction may change.
+// The limits on what one transaction may change.
 struct TransactionBudget {
   static constexpr size_t kUnlimited = std::numeric_limits<size_t>::max();
 
-  // Puts beside one segment.
+  // Puts besides that of one segment.
   size_t max_puts = 0;
   // Jobs whose tasks it may start.
   size_t max_starting_jobs = 0;
-  // Chunks that it may change. Thousands of tasks may end at one moment, more
-  // than a transaction takes: the rest is left to the next.
+  // Chunks that it may change. Thousands of tasks may end at the same time,
+  // more than one transaction can hold; the rest is left to the next one.
   size_t max_chunks = kUnlimited;
 };
 
-// What an attempt's end says about its job and machine, once it is stored.
+// What the end of an attempt shows about its job and machine. It is taken into
+// account once the end is stored.
 struct AttemptReport {
-  // In the order in which they are taken into account.
+  // Reports are taken into account in the order of these values.
   enum class Kind : uint8_t {
     kSuccess,
     kFailure,
-    kProvenReplicaEnded,  // nobody's fault: it had run for a while
-    kRefusal,             // the worker did not take the start
+    kProvenReplicaEnded,  // no fault: it had run for a while
+    kRefusal,             // the worker refused the start
   };
   Kind kind = Kind::kSuccess;
   std::string machine;
   std::string job;
 };
 
+// The changes as they are decided, before TransactionBuilder turns them into
+// records and conditions.
 struct PendingTransaction {
   using ChunkKey = StateCache::ChunkKey;
   struct ChunkChange {
@@ -55,30 +58,33 @@
       : budget(limits) {}
 
   TransactionBudget budget;
+  // The chunks that change, as they will be stored.
   std::map<ChunkKey, ChunkChange> chunks;
-  // Jobs whose tasks start. That depends on their records' revisions, so that
-  // no start follows a cancellation or a transfer.
+  // Jobs whose tasks start. The modification revisions of their records become
+  // conditions, so that no start is stored after a cancellation or a transfer.
   std::set<const Job*, OrderById> starting;
-  // Those of them whose tasks' places depend on what other partitions start:
-  // the job's record is written anew, so that of two such starts that do not
-  // know of each other the second fails.
+  // Those of the starting jobs whose placement depends on what other partitions
+  // start. The job's record is written again unchanged, so that of two
+  // concurrent starts in different partitions the second one fails.
   std::set<const Job*, OrderById> ordered_starts;
-  // New owners of these jobs' chunks.
+  // The new owners of all chunks of a job, by job.
   std::map<std::string, std::vector<ChunkOwner>> transfers;
-  std::map<std::string, TeamRecord> teams;
-  std::set<std::string> done_jobs;
-  std::optional<LoadRecord> load;
-  uint32_t starts = 0;
-  Duration waited{0};  // of the tasks that start
+  std::map<std::string, TeamRecord> teams;  // changed records, by team
+  std::set<std::string> done_jobs;          // jobs whose last task ends
+  std::optional<LoadRecord> load;           // none if no load record is due
+  uint32_t starts = 0;                      // the number of tasks that start
+  Duration waited{0};  // the sum of the times that these tasks have waited
   std::vector<AttemptReport> reports;
 
-  // Puts beside those of the segments.
+  // The number of puts besides those of the segments.
   size_t other_puts() const {
     return teams.size() + done_jobs.size() + transfers.size() +
            ordered_starts.size() + (load ? 1 : 0);
   }
   bool empty() const { return chunks.empty() && other_puts() == 0; }
 
+  // The following tell whether the budget leaves room for one more put, for
+  // starts of the job, and for changes of the chunk.
   bool MayAddPut() const { return other_puts() < budget.max_puts; }
   size_t PutsLeft() const {
     return MayAddPut() ? budget.max_puts - other_puts() : 0;
@@ -91,12 +97,13 @@
     return chunks.size() < budget.max_chunks ||
            chunks.contains({job.spec().id, chunk});
   }
-  // Whether any of the job's chunks is changed.
+  // Whether any chunk of the job changes.
   bool ChangesJob(const std::string& job) const {
     auto first = chunks.lower_bound({job, 0});
     return first != chunks.end() && first->first.first == job;
   }
-  // The change of the chunk, which begins as what is stored.
+  // Returns the change of the chunk. It is added if there is none yet, with the
+  // stored record and the epoch of the chunk's present owner.
   ChunkChange& ChangeOf(const Job& job, uint32_t chunk,
                         uint32_t partition_count);
 };
--- a/src/core/partition/record_sizes.cc
+++ b/src/core/partition/record_sizes.cc
@@ -6,9 +6,11 @@
 namespace pitchfall {
 namespace {
 
-// Of one more task on a machine of its own, in a chunk's record.
+// An upper bound in bytes for one more assigned task in a chunk's record, on a
+// machine that the record does not name yet.
 constexpr size_t kMaxAssignmentBytes = 100;
-// So many ranges of completed tasks surely fit into kSmallRecordBytes.
+// The number of ranges of completed tasks that certainly fit into
+// kSmallRecordBytes.
 constexpr size_t kFewRanges = 16;
 
 }  // namespace
@@ -25,7 +27,8 @@
 bool RecordSizes::FitsSegmentWithOneMore(const std::string& job, uint32_t chunk,
                                          const ChunkRecord& record) const {
   size_t max_bytes = limits_.UsableValueBytes();
-  // The exact bound is dear to compute; most records are far below it.
+  // The exact bound is expensive to compute, and most records are far below the
+  // limit.
   size_t estimate =
       record.assigned.size() * kMaxAssignmentBytes + kSmallRecordBytes;
   bool few_ranges = record.done.iterative_size() <= kFewRanges;
--- a/src/core/partition/record_sizes.h
+++ b/src/core/partition/record_sizes.h
@@ -1,4 +1,4 @@
-// Whether records fit into what the state service takes as one value.
+// Checks whether records fit into one value of the state service.
 #ifndef PITCHFALL_CORE_PARTITION_RECORD_SIZES_H_
 #define PITCHFALL_CORE_PARTITION_RECORD_SIZES_H_
 
@@ -11,23 +11,24 @@
 
 namespace pitchfall {
 
-// Bytes that a small record takes at the most, names of its fields included.
+// An upper bound in bytes for a small record, including its field names.
 inline constexpr size_t kSmallRecordBytes = 600;
 
-// Sizes are counted as the state service counts them, as JSON, by the limits
-// that hold at the moment of the call.
+// Sizes are counted like the state service counts them, as JSON. Each call uses
+// the limits that hold at that moment.
 class RecordSizes {
  public:
   explicit RecordSizes(const StateLimits& limits) : limits_(limits) {}
 
-  // An earlier version may have stored a record that is too large to be written
-  // again since the state service takes less.
+  // Whether the record can be written as one value. A stored record may be too
+  // large to be written again: an earlier version may have stored it when the
+  // state service accepted larger values.
   bool FitsValue(const JobRecord& record) const;
-  // Whether the chunk's record fits into a segment as it is.
+  // Whether the chunk's record fits into a segment in its present size.
   bool FitsSegment(const std::string& job, uint32_t chunk,
                    const ChunkRecord& record) const;
-  // Whether the chunk's record still fits into a segment, whatever becomes of
-  // its tasks, once another of them is on a machine.
+  // Whether the chunk's record still fits into a segment with one more assigned
+  // task, whatever happens to its tasks later.
   bool FitsSegmentWithOneMore(const std::string& job, uint32_t chunk,
                               const ChunkRecord& record) const;
 
--- a/src/core/partition/reschedule_signal.h
+++ b/src/core/partition/reschedule_signal.h
@@ -1,11 +1,11 @@
-// Says that something has changed that the scheduler should look at.
+// A flag that requests the next scheduling pass of a partition.
 #ifndef PITCHFALL_CORE_PARTITION_RESCHEDULE_SIGNAL_H_
 #define PITCHFALL_CORE_PARTITION_RESCHEDULE_SIGNAL_H_
 
 namespace pitchfall {
 
-// Raised by whoever changes what the scheduler decides from; cleared by the
-// partition when it schedules. Raised at first.
+// Raised by every component that changes an input of the scheduler; cleared by
+// the partition when it begins a scheduling pass. It is raised initially.
 class RescheduleSignal {
  public:
   void Raise() { raised_ = true; }
--- a/src/core/partition/task_starter.cc
+++ b/src/core/partition/task_starter.cc
@@ -9,12 +9,12 @@
 namespace pitchfall {
 namespace {
 
-// A replica waits so long at the most for capacity on a machine that has its
-// image.
+// The longest time for which a replica waits for capacity on a machine that has
+// its image.
 constexpr Duration kImageWait = Millis(2500);
 
-// Where the job's tasks are by what is stored. Counted only for jobs whose
-// places depend on it.
+// Counts the job's stored assignments by zone. Returns no counts for jobs whose
+// placement does not depend on them.
 ZoneUse CountZones(const Job& job) {
   ZoneUse use;
   if (!job.constrained()) return use;
@@ -98,7 +98,8 @@
   }
   uint32_t starts_before = pending.starts;
   Placement outcome = StartInOwnedChunks(pending, placement);
-  // A team's limit is the same everywhere, so quota is no reason to transfer.
+  // A team's limit applies to all partitions together, so a lack of quota is no
+  // reason to transfer.
   if (outcome == Placement::kNoMachine) {
     transfer_.AddTransfers(pending, job, waiting_since);
   }
@@ -143,7 +144,8 @@
   if (drafted != pending.chunks.end()) {
     placement.record = &drafted->second.record;
   }
-  // One number for all that start together keeps the record small.
+  // One attempt number for all tasks that start together keeps the record
+  // small.
   placement.attempt = stored == nullptr ? 1 : stored->record.next_attempt;
   placement.bound = placement.record->assigned.size();
   return placement;
@@ -151,8 +153,9 @@
 
 bool TaskStarter::TransactionTakes(const PendingTransaction& pending,
                                    const Job& job, uint32_t chunk) const {
-  // Every job that starts is a condition, of which a transaction takes four for
-  // each of its writes; the rest are for segments, teams and ends.
+  // Every job whose tasks start adds a condition. A transaction may have four
+  // conditions for each of its writes, and some are needed for segments, teams
+  // and ends.
   if (!pending.MayStart(job)) return false;
   bool adds_job_record =
       NeedsOrderedStarts(job) && !pending.ordered_starts.contains(&job);
@@ -225,8 +228,6 @@
   placement.zone_use.total += 1;
 }
 
-// Whether all of a gang can start now: none of it may still be running, and the
-// machines must have capacity for all of it together.
 bool TaskStarter::GangFits(const Job& job) const {
   const JobSpec& spec = job.spec();
   if (job.assigned > 0) return false;
@@ -249,8 +250,6 @@
       tasks_by_zone, [left](const auto& zone) { return zone.second >= left; });
 }
 
-// Whether a replica should rather wait a moment for capacity on a machine with
-// its image than start on `machine`, which would have to fetch it first.
 bool TaskStarter::AwaitsImage(const JobPlacement& placement,
                               const Machine& machine) {
   const JobSpec& spec = placement.job.spec();
--- a/src/core/partition/transaction_builder.cc
+++ b/src/core/partition/transaction_builder.cc
@@ -12,9 +12,10 @@
 namespace pitchfall {
 namespace {
 
-// Quotes and comma of a text in a list.
+// The bytes of the quotes and the comma of a JSON string in a list.
 constexpr size_t kListEntryBytes = 3;
-// A team's record takes one more small record's bytes for each so many shares.
+// A team's record takes the bytes of one more small record for every so many
+// quota shares.
 constexpr size_t kSharesPerSmallRecord = 8;
 
 }  // namespace
@@ -46,7 +47,8 @@
 void TransactionBuilder::AddJobs(Draft& draft,
                                  const PendingTransaction& pending) const {
   // A start must not be stored after a cancellation, nor in a chunk that has
-  // been transferred: both change the job's record.
+  // been transferred. Both change the job's record, whose modification revision
+  // is therefore a condition.
   std::map<std::string, uint64_t> revisions;
   for (const Job* job : pending.starting) {
     revisions[job->spec().id] = job->mod_revision;
@@ -109,7 +111,7 @@
   SegmentLimits limits;
   limits.value_bytes = context_.state_limits.UsableValueBytes();
   limits.writes = operations - std::min(operations, pending.other_puts());
-  // Each segment is a condition and a write.
+  // Each segment adds a condition and a write.
   size_t operation_count = transaction.conditions.size() +
                            transaction.writes.size() + 2 * limits.writes;
   size_t bytes = draft.bytes + kOperationBytes * operation_count;
--- a/src/core/partition/worker_commands.cc
+++ b/src/core/partition/worker_commands.cc
@@ -5,10 +5,11 @@
 namespace pitchfall {
 namespace {
 
-// Beyond the time that a checkpoint takes to save.
+// Added to the time that a task needs to save a checkpoint.
 constexpr Duration kSaveMargin = Millis(1000);
 
-// What nobody wants any more need not be saved, nor less work than saving
+// Whether the attempt should save a checkpoint before it stops. Not if its job
+// is over, nor if less work has been done since the last checkpoint than saving
 // takes.
 bool WorthSaving(const BoundAttempt& attempt, const CommandPolicy& policy) {
   const JobSpec& spec = attempt.job->spec();
@@ -29,8 +30,8 @@
           grace};
 }
 
-// Stops of reported tasks that should not run, and acknowledgements of ends
-// that have been stored.
+// The stops of reported tasks that should not run, and the acknowledgements of
+// ends that have been stored.
 struct ReactionsToReported {
   std::vector<WorkerCommand> stops;
   std::vector<WorkerCommand> acknowledgements;
@@ -45,7 +46,8 @@
     bool is_bound =
         bound != machine.bound.end() && bound->second.attempt == task.attempt;
     if (task.state == TaskState::kExited) {
-      // Kept by the worker until its end is stored.
+      // The worker keeps the exited task until its end is acknowledged, which
+      // must not happen before the end is stored.
       if (is_bound) continue;
       reactions.acknowledgements.push_back(
           {Op::kAcknowledge, task.job, task.task, task.attempt, {}});
@@ -59,16 +61,18 @@
   return reactions;
 }
 
-// Whether the attempt's start may go into the answer to this heartbeat.
+// Whether the start of the attempt may be sent in the answer to this heartbeat.
 bool MayStart(const TaskKey& key, const BoundAttempt& attempt,
               const WorkerHeartbeat& heartbeat, const CommandPolicy& policy) {
-  // It may have run already, or may start elsewhere at any moment.
+  // The attempt may have run already, or the task may start elsewhere at any
+  // moment.
   if (attempt.bound_by_previous_owner || attempt.reported || attempt.ending) {
     return false;
   }
   if (attempt.StopRequested() || !policy.wanted(attempt)) return false;
   if (FindReported(heartbeat, key, attempt.attempt) != nullptr) return false;
-  // A start of an earlier agent epoch may have run in it.
+  // A start that was sent in an earlier agent epoch may have been carried out
+  // in that epoch.
   return !attempt.start_sent ||
          attempt.start_sent->agent_epoch == heartbeat.agent_epoch;
 }
@@ -81,9 +85,9 @@
   for (auto& [key, attempt] : machine.bound) {
     bool should_run = policy.wanted(attempt) && !attempt.StopRequested();
     if (attempt.stop_sent || should_run) continue;
-    // A start that no heartbeat shows yet may have been carried out all the
-    // same. If it is still on its way the stop does nothing, and the answer to
-    // the heartbeat that shows the task says it again.
+    // A start that was sent may have been carried out although no heartbeat
+    // shows the task yet. If the start arrives after this stop, the stop has no
+    // effect, and the answer to the heartbeat that shows the task repeats it.
     bool there = attempt.state ? *attempt.state != TaskState::kExited
                                : attempt.start_sent.has_value();
     if (!there) continue;
--- a/src/core/partition/worker_responder.cc
+++ b/src/core/partition/worker_responder.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kCommandTimeout = Millis(2000);
-// After a direct stop that failed.
+// The delay before a direct stop that failed is repeated.
 constexpr Duration kStopRetryInterval = Millis(1000);
 
 }  // namespace
@@ -79,10 +79,6 @@
   }
 }
 
-// The worker reports what has changed, and answers to heartbeats repeat stops.
-// But one that reaches no controller reports nothing, and a stop that was lost
-// on its way has to be sent again
-// (DirectStops.AreRepeatedUntilOneIsCarriedOut).
 void WorkerResponder::OnStopReply(const std::string& name,
                                   const std::vector<WorkerCommand>& stops,
                                   const WorkerReply& reply) {
--- a/src/core/partition/worker_responder.h
+++ b/src/core/partition/worker_responder.h
@@ -1,5 +1,5 @@
-// Sends commands to workers: in answers to their heartbeats, and stops
-// directly.
+// Sends commands to workers: in the answers to their heartbeats, or, for stops,
+// also in direct calls.
 #ifndef PITCHFALL_CORE_PARTITION_WORKER_RESPONDER_H_
 #define PITCHFALL_CORE_PARTITION_WORKER_RESPONDER_H_
 
@@ -16,9 +16,9 @@
 
 namespace pitchfall {
 
-// Heartbeats wait unanswered until what they lead to has been stored, so that
-// starts and acknowledgements follow what is stored. Every heartbeat that was
-// accepted is answered or refused exactly once.
+// Heartbeats wait for their answers until the decisions that follow from them
+// have been stored, so that start commands and acknowledgements agree with the
+// stored state. Every accepted heartbeat is answered or refused exactly once.
 class WorkerResponder {
  public:
   WorkerResponder(Context& context, const OwnershipTerm& term,
@@ -28,18 +28,22 @@
         entitlement_(entitlement),
         machines_(machines) {}
 
-  // Answers every heartbeat that came at `accepted_until` or before with the
-  // commands that follow from what is stored, or refuses it if this owner may
-  // not answer any more.
+  // Answers every waiting heartbeat that arrived at `accepted_until` or before
+  // with the commands that follow from the stored state, or refuses it if this
+  // owner may no longer answer.
   void AnswerHeartbeats(SteadyTime accepted_until);
-  // Refuses the machine's waiting heartbeat with 503, if there is one.
+  // Answers the machine's waiting heartbeat, if there is one, with 503.
   void Refuse(Machine& machine);
-  // Sends stops at once to machines that have no heartbeat waiting.
+  // Sends stops in direct calls to the machines that have no heartbeat waiting.
   void SendDirectStops();
 
  private:
   void Answer(Machine& machine);
   CommandPolicy PolicyFor(const Machine& machine) const;
+  // Marks the stops of a failed call as not sent, so that they are repeated.
+  // The worker reports what it has stopped, and the answers to its heartbeats
+  // repeat stops too, but a worker that reaches no controller sends none
+  // (DirectStops.AreRepeatedUntilOneIsCarriedOut).
   void OnStopReply(const std::string& name,
                    const std::vector<WorkerCommand>& stops,
                    const WorkerReply& reply);
@@ -51,8 +55,8 @@
   LifetimeGuard lifetime_;
 };
 
-// Whether the bound attempt should be running: its job is neither done nor
-// cancelled, be it by the stored record or by another controller's word.
+// Whether the job of the bound attempt is neither done nor cancelled, according
+// to its stored record and to what other controllers have reported.
 bool IsWanted(const Context& context, const BoundAttempt& attempt);
 
 }  // namespace pitchfall
