--- a/src/core/partition/load_reporter.cc
+++ b/src/core/partition/load_reporter.cc
@@ -75,7 +75,7 @@
     waited_ = Duration(0);
   }
   started_ += pending.starts;
-  waited_ += pending.waited;
+  waited_ += pending.total_wait_time;
 }
 
 void LoadReporter::LogLoad(const LoadRecord& load) const {
--- a/src/core/partition/machine_drainer.cc
+++ b/src/core/partition/machine_drainer.cc
@@ -48,9 +48,10 @@
   bool preempted_soon = IsPreemptedSoon(machine);
   for (auto& [key, attempt] : machine.bound) {
     if (!IsReplica(attempt) || attempt.drain_requested) continue;
-    bool has_place = draining < kMaxDrainingReplicas &&
-                     HasCapacityElsewhere(machine, attempt.job->spec());
-    if (!has_place && !preempted_soon) continue;
+    bool has_capacity_elsewhere =
+        draining < kMaxDrainingReplicas &&
+        HasCapacityElsewhere(machine, attempt.job->spec());
+    if (!has_capacity_elsewhere && !preempted_soon) continue;
     attempt.drain_requested = true;
     ++draining;
     context_.out.Log(LogLevel::kInfo,
--- a/src/core/partition/machine_health.cc
+++ b/src/core/partition/machine_health.cc
@@ -13,15 +13,15 @@
 // The time between two searches for machines to delete, and the delays before
 // the next search once a call has succeeded or failed.
 constexpr Duration kDeleteInterval = Millis(500);
-constexpr Duration kAfterDeletion = Millis(300);
-constexpr Duration kAfterFailedDeletion = Millis(2000);
+constexpr Duration kDelayAfterDeletion = Millis(300);
+constexpr Duration kDelayAfterFailedDeletion = Millis(2000);
 // Added to three heartbeat intervals before a machine counts as silent.
 constexpr Duration kSilenceMargin = Millis(2000);
 // The largest number of machine names in one call to the cloud.
 constexpr size_t kMaxDeletedAtOnce = 100;
 // If more than one machine in so many (and more than one in all) seem to
 // receive no answers, none is deleted for that reason.
-constexpr size_t kUnreachableShare = 4;
+constexpr size_t kMachinesPerUnreachable = 4;
 
 }  // namespace
 
@@ -73,7 +73,7 @@
   return context_.now() - *machine.inbound.suspect_since > limit;
 }
 
-MachineHealth::Survey MachineHealth::SurveyMachines() const {
+MachineHealth::SymptomCheck MachineHealth::CheckSymptoms() const {
   Duration recent = 2 * context_.deployment.heartbeat_interval;
   size_t heard = 0;
   size_t silent = 0;
@@ -82,22 +82,22 @@
     (SilenceOf(machine) < recent ? heard : silent) += 1;
     if (InboundUnreachable(machine)) ++unreachable;
   }
-  size_t believable =
-      std::max<size_t>(1, machines_.machines().size() / kUnreachableShare);
-  return {heard >= silent, unreachable <= believable};
+  size_t max_plausible_unreachable = std::max<size_t>(
+      1, machines_.machines().size() / kMachinesPerUnreachable);
+  return {heard >= silent, unreachable <= max_plausible_unreachable};
 }
 
 const char* MachineHealth::ReasonToDelete(const Machine& machine,
-                                          const Survey& survey) const {
+                                          const SymptomCheck& symptoms) const {
   Duration lease = context_.deployment.worker_lease;
   Duration silence = SilenceOf(machine);
   Duration limit =
       machine.heartbeat
           ? 3 * context_.deployment.heartbeat_interval + kSilenceMargin
           : lease;
-  bool silent = survey.silence_believable && silence > limit;
+  bool silent = symptoms.silence_plausible && silence > limit;
   if (silent || silence > 3 * lease) return "silent";
-  if (survey.unreachability_believable && InboundUnreachable(machine)) {
+  if (symptoms.unreachability_plausible && InboundUnreachable(machine)) {
     return "inbound_unreachable";
   }
   bool to_return = machine.cordoned || machine.quarantined;
@@ -107,11 +107,11 @@
 }
 
 std::vector<std::string> MachineHealth::ChooseMachinesToDelete() {
-  const Survey survey = SurveyMachines();
+  const SymptomCheck symptoms = CheckSymptoms();
   std::vector<std::string> names;
   for (auto& [name, machine] : machines_.machines()) {
     if (names.size() >= kMaxDeletedAtOnce) break;
-    const char* reason = ReasonToDelete(machine, survey);
+    const char* reason = ReasonToDelete(machine, symptoms);
     if (reason == nullptr && !machine.deleting) continue;
     if (!machine.deleting) {
       context_.out.Log(LogLevel::kInfo,
@@ -143,8 +143,8 @@
                                   const CloudReply& reply) {
   call_pending_ = false;
   bool deleted = reply.status == http_status::kOk;
-  next_call_ =
-      context_.now() + (deleted ? kAfterDeletion : kAfterFailedDeletion);
+  next_call_ = context_.now() +
+               (deleted ? kDelayAfterDeletion : kDelayAfterFailedDeletion);
   if (!deleted) return;
   for (const std::string& name : names) {
     machines_.MarkDeleted(name);
--- a/src/core/partition/machine_health.h
+++ b/src/core/partition/machine_health.h
@@ -39,7 +39,7 @@
   void UpdateLease(Machine& machine);
   // Whether the machine can be removed from the registry: its deletion has been
   // requested, no task runs on it and none is bound to it.
-  static bool IsForgettable(const Machine& machine) {
+  static bool CanRemove(const Machine& machine) {
     return machine.gone && machine.deleting && machine.bound.empty();
   }
   // Asks the cloud to delete machines that send no heartbeats, are drained, or
@@ -50,18 +50,18 @@
  private:
   // Whether the symptoms of single machines are plausible, given how many
   // machines show them at the same time.
-  struct Survey {
+  struct SymptomCheck {
     // False if most machines are silent: a network fault is more likely.
-    bool silence_believable = true;
+    bool silence_plausible = true;
     // False if many machines seem to receive no answers: it is more likely that
     // this controller answers too late.
-    bool unreachability_believable = true;
+    bool unreachability_plausible = true;
   };
-  Survey SurveyMachines() const;
+  SymptomCheck CheckSymptoms() const;
   // The `reason=` value of the log line if the machine should be deleted, or
   // null if it should stay.
   const char* ReasonToDelete(const Machine& machine,
-                             const Survey& survey) const;
+                             const SymptomCheck& symptoms) const;
   // Marks the machines to delete as `deleting` and returns their names, at most
   // as many as one call takes. Includes machines whose deletion was requested
   // before: it may take effect at any moment, so it is repeated until it is
--- a/src/core/partition/partition.cc
+++ b/src/core/partition/partition.cc
@@ -12,7 +12,7 @@
 constexpr Duration kReconcileInterval = Millis(40);
 constexpr Duration kScheduleInterval = Millis(80);
 // How much longer than that a scheduling pass is put off while nothing changes.
-constexpr Duration kIdleScheduleInterval = Millis(250);
+constexpr Duration kIdleScheduleDelay = Millis(250);
 // The delay after a write that was not carried out.
 constexpr Duration kWriteRetryDelay = Millis(150);
 // How long a heartbeat waits for tokens of the write budget before it is
@@ -26,7 +26,7 @@
 // for segments, teams and ends. The partition and its write fence add two
 // conditions to every transaction.
 constexpr size_t kJobConditionsPerOperation = 3;
-constexpr size_t kOwnConditions = 2;
+constexpr size_t kPartitionConditions = 2;
 
 }  // namespace
 
@@ -73,8 +73,8 @@
   ReconcileMachines();
   announcer_.Step();
   if (committer_.busy() || now < next_schedule_) return;
-  bool idle = now - next_schedule_ < kIdleScheduleInterval;
-  if (!reschedule_.raised() && idle) return;
+  bool within_idle_delay = now - next_schedule_ < kIdleScheduleDelay;
+  if (!reschedule_.raised() && within_idle_delay) return;
   if (!context_.state_watcher.Fresh()) {
     responder_.AnswerHeartbeats(now);
     next_schedule_ = now + kScheduleInterval;
@@ -105,7 +105,7 @@
     health_.UpdateCordon(machine);
     health_.UpdateLease(machine);
     drainer_.Drain(machine);
-    if (MachineHealth::IsForgettable(machine)) {
+    if (MachineHealth::CanRemove(machine)) {
       faults_.ForgetMachine(machine.name);
       entry = machines_.Erase(entry);
     } else {
@@ -125,7 +125,8 @@
   // that changes nothing else.
   budget.max_puts =
       std::min<size_t>(static_cast<size_t>(write_tokens) + 1, operations / 2);
-  budget.max_starting_jobs = conditions - std::min(conditions, kOwnConditions);
+  budget.max_starting_jobs =
+      conditions - std::min(conditions, kPartitionConditions);
   // After a refusal for size the next transaction is made as small as possible,
   // so that it is accepted.
   if (last_write_too_large_) budget.max_puts = budget.max_starting_jobs = 1;
--- a/src/core/partition/pending_transaction.cc
+++ b/src/core/partition/pending_transaction.cc
@@ -2,7 +2,7 @@
 
 namespace pitchfall {
 
-PendingTransaction::ChunkChange& PendingTransaction::ChangeOf(
+PendingTransaction::ChunkChange& PendingTransaction::GetOrAddChange(
     const Job& job, uint32_t chunk, uint32_t partition_count) {
   auto [change, is_new] = chunks.try_emplace({job.spec().id, chunk});
   if (is_new) {
--- a/src/core/partition/pending_transaction.h
+++ b/src/core/partition/pending_transaction.h
@@ -62,24 +62,25 @@
   std::map<ChunkKey, ChunkChange> chunks;
   // Jobs whose tasks start. The modification revisions of their records become
   // conditions, so that no start is stored after a cancellation or a transfer.
-  std::set<const Job*, OrderById> starting;
+  std::set<const Job*, OrderById> starting_jobs;
   // Those of the starting jobs whose placement depends on what other partitions
   // start. The job's record is written again unchanged, so that of two
   // concurrent starts in different partitions the second one fails.
-  std::set<const Job*, OrderById> ordered_starts;
+  std::set<const Job*, OrderById> ordered_start_jobs;
   // The new owners of all chunks of a job, by job.
   std::map<std::string, std::vector<ChunkOwner>> transfers;
   std::map<std::string, TeamRecord> teams;  // changed records, by team
-  std::set<std::string> done_jobs;          // jobs whose last task ends
+  std::set<std::string> done_jobs;          // jobs that are then completed
   std::optional<LoadRecord> load;           // none if no load record is due
   uint32_t starts = 0;                      // the number of tasks that start
-  Duration waited{0};  // the sum of the times that these tasks have waited
+  Duration total_wait_time{
+      0};  // the sum of the times that these tasks have waited
   std::vector<AttemptReport> reports;
 
   // The number of puts besides those of the segments.
   size_t other_puts() const {
     return teams.size() + done_jobs.size() + transfers.size() +
-           ordered_starts.size() + (load ? 1 : 0);
+           ordered_start_jobs.size() + (load ? 1 : 0);
   }
   bool empty() const { return chunks.empty() && other_puts() == 0; }
 
@@ -90,8 +91,8 @@
     return MayAddPut() ? budget.max_puts - other_puts() : 0;
   }
   bool MayStart(const Job& job) const {
-    return starting.contains(&job) ||
-           starting.size() < budget.max_starting_jobs;
+    return starting_jobs.contains(&job) ||
+           starting_jobs.size() < budget.max_starting_jobs;
   }
   bool MayChange(const Job& job, uint32_t chunk) const {
     return chunks.size() < budget.max_chunks ||
@@ -104,8 +105,8 @@
   }
   // Returns the change of the chunk. It is added if there is none yet, with the
   // stored record and the epoch of the chunk's present owner.
-  ChunkChange& ChangeOf(const Job& job, uint32_t chunk,
-                        uint32_t partition_count);
+  ChunkChange& GetOrAddChange(const Job& job, uint32_t chunk,
+                              uint32_t partition_count);
 };
 
 }  // namespace pitchfall
--- a/src/core/partition/record_sizes.cc
+++ b/src/core/partition/record_sizes.cc
@@ -11,7 +11,7 @@
 constexpr size_t kMaxAssignmentBytes = 100;
 // The number of ranges of completed tasks that certainly fit into
 // kSmallRecordBytes.
-constexpr size_t kFewRanges = 16;
+constexpr size_t kMaxRangesInSmallRecord = 16;
 
 }  // namespace
 
@@ -31,7 +31,7 @@
   // limit.
   size_t estimate =
       record.assigned.size() * kMaxAssignmentBytes + kSmallRecordBytes;
-  bool few_ranges = record.done.iterative_size() <= kFewRanges;
+  bool few_ranges = record.done.iterative_size() <= kMaxRangesInSmallRecord;
   if (few_ranges && estimate < max_bytes) return true;
   return MaxEntryBytes({job, chunk, record}) + kMaxAssignmentBytes <= max_bytes;
 }
--- a/src/core/partition/task_starter.cc
+++ b/src/core/partition/task_starter.cc
@@ -44,12 +44,12 @@
   return all_read_more ? kMaxInChunk : kMaxInChunkVersion1;
 }
 
-void TaskStarter::CollectOpenMachines() {
+void TaskStarter::CollectSchedulableMachines() {
   SteadyTime now = context_.now();
-  open_machines_.clear();
+  schedulable_machines_.clear();
   for (auto& [name, machine] : machines_.machines()) {
     if (!machine.TakesTasks(now)) continue;
-    open_machines_.push_back(&machine);
+    schedulable_machines_.push_back(&machine);
     SteadyTime expected =
         machine.last_answer + context_.deployment.heartbeat_interval;
     bool answered_next = machine.pending_request != 0;
@@ -58,20 +58,21 @@
   }
 }
 
-void TaskStarter::FindWidestTask(const std::vector<const Job*>& jobs) {
-  widest_task_cpus_ = 0;
+void TaskStarter::FindMaxWaitingTaskCpus(const std::vector<const Job*>& jobs) {
+  max_waiting_task_cpus_ = 0;
   for (const Job* job : jobs) {
     if (job->waiting() == 0) continue;
-    widest_task_cpus_ = std::max(widest_task_cpus_, job->spec().resources.cpus);
+    max_waiting_task_cpus_ =
+        std::max(max_waiting_task_cpus_, job->spec().resources.cpus);
   }
 }
 
 void TaskStarter::AddStarts(PendingTransaction& pending,
                             const std::vector<const Job*>& jobs) {
   SteadyTime now = context_.now();
-  CollectOpenMachines();
+  CollectSchedulableMachines();
   displacer_.BeginPlan(now);
-  FindWidestTask(jobs);
+  FindMaxWaitingTaskCpus(jobs);
   quota_.ClearReserved();
   std::map<std::string, SteadyTime> still_waiting;
   for (const Job* job : jobs) {
@@ -110,7 +111,7 @@
                    !pending.transfers.contains(spec.id) &&
                    !transfer_.MayTransferSoon(job, waiting_since);
   if (displaces) {
-    displacer_.DisplaceFor(spec, placement.zone_use, open_machines_,
+    displacer_.DisplaceFor(spec, placement.zone_use, schedulable_machines_,
                            still_waiting);
   }
   if (still_waiting > 0) {
@@ -151,14 +152,14 @@
   return placement;
 }
 
-bool TaskStarter::TransactionTakes(const PendingTransaction& pending,
-                                   const Job& job, uint32_t chunk) const {
+bool TaskStarter::TransactionAllowsStart(const PendingTransaction& pending,
+                                         const Job& job, uint32_t chunk) const {
   // Every job whose tasks start adds a condition. A transaction may have four
   // conditions for each of its writes, and some are needed for segments, teams
   // and ends.
   if (!pending.MayStart(job)) return false;
   bool adds_job_record =
-      NeedsOrderedStarts(job) && !pending.ordered_starts.contains(&job);
+      NeedsOrderedStarts(job) && !pending.ordered_start_jobs.contains(&job);
   if (adds_job_record && !pending.MayAddPut()) return false;
   if (adds_job_record && !sizes_.FitsValue(job.record)) return false;
   return pending.MayChange(job, chunk);
@@ -173,9 +174,9 @@
   if (CountTasks(chunk.record->done) + chunk.bound >= chunk.size) {
     return Placement::kAll;
   }
-  chunk.taken = chunk.record->done;
+  chunk.completed_or_bound = chunk.record->done;
   for (const Assignment& assignment : chunk.record->assigned) {
-    AddTask(chunk.taken, assignment.task);
+    AddTask(chunk.completed_or_bound, assignment.task);
   }
   chunk.avoid = failures_.MachinesToAvoid(spec.id, context_.now());
   chunk.urgent =
@@ -185,19 +186,20 @@
   size_t max_bound = MaxBoundInChunk();
   uint32_t end = job.chunk_end(number);
   for (uint32_t task = job.chunk_begin(number); task < end; ++task) {
-    if (HasTask(chunk.taken, task)) continue;
+    if (HasTask(chunk.completed_or_bound, task)) continue;
     bool fits = chunk.bound < max_bound &&
                 sizes_.FitsSegmentWithOneMore(spec.id, number, *chunk.record);
     if (!fits) return Placement::kAll;
-    if (!TransactionTakes(pending, job, number)) return Placement::kNoQuota;
-    uint32_t waiting = chunk.size - CountTasks(chunk.taken);
+    if (!TransactionAllowsStart(pending, job, number))
+      return Placement::kLimitReached;
+    uint32_t waiting = chunk.size - CountTasks(chunk.completed_or_bound);
     Machine* machine =
-        ChooseMachine(spec, waiting, placement.zone_use, open_machines_,
-                      chunk.avoid, chunk.urgent, widest_task_cpus_);
+        ChooseMachine(spec, waiting, placement.zone_use, schedulable_machines_,
+                      chunk.avoid, chunk.urgent, max_waiting_task_cpus_);
     if (machine == nullptr) return Placement::kNoMachine;
-    if (AwaitsImage(placement, *machine)) continue;
+    if (DisplaceForImage(placement, *machine)) continue;
     if (!quota_.Acquire(job, pending.teams, pending.MayAddPut())) {
-      return Placement::kNoQuota;
+      return Placement::kLimitReached;
     }
     AddStart(pending, placement, chunk, task, *machine);
   }
@@ -210,16 +212,16 @@
   const Job& job = placement.job;
   const JobSpec& spec = job.spec();
   ChunkRecord& record =
-      pending.ChangeOf(job, chunk.chunk, context_.partition_count).record;
+      pending.GetOrAddChange(job, chunk.chunk, context_.partition_count).record;
   record.assigned.push_back({task, chunk.attempt, machine.name, machine.zone});
   record.next_attempt = chunk.attempt + 1;
   chunk.record = &record;
   ++chunk.bound;
-  AddTask(chunk.taken, task);
-  pending.starting.insert(&job);
-  if (NeedsOrderedStarts(job)) pending.ordered_starts.insert(&job);
+  AddTask(chunk.completed_or_bound, task);
+  pending.starting_jobs.insert(&job);
+  if (NeedsOrderedStarts(job)) pending.ordered_start_jobs.insert(&job);
   pending.starts += 1;
-  pending.waited += context_.now() - placement.waiting_since;
+  pending.total_wait_time += context_.now() - placement.waiting_since;
   machine.planned.resources += spec.resources;
   machine.planned.images.insert(spec.image);
   if (spec.shape == Shape::kService) machine.planned.services.insert(spec.id);
@@ -239,7 +241,7 @@
   if (over_cpus || over_gpus) return false;
   std::map<std::string, int64_t> tasks_by_zone;
   int64_t tasks = 0;
-  for (const Machine* machine : open_machines_) {
+  for (const Machine* machine : schedulable_machines_) {
     if (!Allowed(spec, *machine, {})) continue;
     int64_t count = spec.resources.CountIn(machine->Free(), left);
     tasks_by_zone[machine->zone] += count;
@@ -250,14 +252,14 @@
       tasks_by_zone, [left](const auto& zone) { return zone.second >= left; });
 }
 
-bool TaskStarter::AwaitsImage(const JobPlacement& placement,
-                              const Machine& machine) {
+bool TaskStarter::DisplaceForImage(const JobPlacement& placement,
+                                   const Machine& machine) {
   const JobSpec& spec = placement.job.spec();
   bool service = spec.shape == Shape::kService;
   if (!service || machine.images.contains(spec.image)) return false;
   if (context_.now() - placement.waiting_since > kImageWait) return false;
   return displacer_.DisplaceOnMachineWithImage(spec, placement.zone_use,
-                                               open_machines_);
+                                               schedulable_machines_);
 }
 
 }  // namespace pitchfall
--- a/src/core/partition/task_starter.h
+++ b/src/core/partition/task_starter.h
@@ -49,9 +49,9 @@
  private:
   // The reason why no more tasks of a job or chunk were added.
   enum class Placement : uint8_t {
-    kAll,        // every task that may start now has been added
-    kNoMachine,  // no machine has capacity and is allowed
-    kNoQuota,    // the team's quota or the transaction's budget is used up
+    kAll,           // every task that may start now has been added
+    kNoMachine,     // no machine has capacity and is allowed
+    kLimitReached,  // the team's quota or the transaction's budget is used up
   };
   // The state of one job while starts of its tasks are added.
   struct JobPlacement {
@@ -62,9 +62,9 @@
   // The state of one chunk while starts of its tasks are added.
   struct ChunkPlacement {
     uint32_t chunk = 0;
-    uint32_t size = 0;  // the number of its tasks
-    size_t bound = 0;   // the number of its tasks that are on machines
-    TaskSet taken;      // tasks that are completed or on a machine
+    uint32_t size = 0;           // the number of its tasks
+    size_t bound = 0;            // the number of its tasks that are on machines
+    TaskSet completed_or_bound;  // tasks that are completed or on a machine
     // The record as it will be stored: the stored one, or the one in the
     // pending transaction once the chunk changes.
     const ChunkRecord* record = nullptr;
@@ -75,8 +75,8 @@
   };
 
   // Finds the machines that accept tasks now.
-  void CollectOpenMachines();
-  void FindWidestTask(const std::vector<const Job*>& jobs);
+  void CollectSchedulableMachines();
+  void FindMaxWaitingTaskCpus(const std::vector<const Job*>& jobs);
   // Adds the starts of one job. Transfers or displaces for the tasks that find
   // no machine, and reserves quota for all that still wait.
   void AddStartsOf(PendingTransaction& pending, const Job& job,
@@ -88,8 +88,8 @@
   ChunkPlacement PrepareChunk(const PendingTransaction& pending, const Job& job,
                               uint32_t chunk) const;
   // Whether the transaction has room for one more start in the chunk.
-  bool TransactionTakes(const PendingTransaction& pending, const Job& job,
-                        uint32_t chunk) const;
+  bool TransactionAllowsStart(const PendingTransaction& pending, const Job& job,
+                              uint32_t chunk) const;
   void AddStart(PendingTransaction& pending, JobPlacement& placement,
                 ChunkPlacement& chunk, uint32_t task, Machine& machine);
   // Whether all tasks of a gang can start now: none of them may still be on a
@@ -99,7 +99,7 @@
   // starting on `machine`, which would have to fetch the image first: tells
   // tasks of lower priority on such a machine to stop. Returns false, and stops
   // nothing, if the replica should start on `machine`.
-  bool AwaitsImage(const JobPlacement& placement, const Machine& machine);
+  bool DisplaceForImage(const JobPlacement& placement, const Machine& machine);
   // Whether the starts of the job's tasks must be stored in a total order with
   // those of other partitions, because their placement depends on each other.
   bool NeedsOrderedStarts(const Job& job) const;
@@ -119,10 +119,10 @@
   // Since when tasks of a job have been waiting here, by job.
   std::map<std::string, SteadyTime> waiting_since_;
   // The machines that accept tasks, for the transaction being built.
-  std::vector<Machine*> open_machines_;
+  std::vector<Machine*> schedulable_machines_;
   // The most processors that a waiting task needs, in the unit of
   // Resources::cpus.
-  int64_t widest_task_cpus_ = 0;
+  int64_t max_waiting_task_cpus_ = 0;
 };
 
 }  // namespace pitchfall
--- a/src/core/partition/transaction_builder.cc
+++ b/src/core/partition/transaction_builder.cc
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-void TransactionBuilder::Draft::Require(std::string key,
-                                        uint64_t mod_revision) {
+void TransactionBuilder::Draft::AddCondition(std::string key,
+                                             uint64_t mod_revision) {
   transaction.conditions.push_back({std::move(key), mod_revision});
 }
 
-void TransactionBuilder::Draft::Put(std::string key, Record record,
-                                    size_t record_bytes) {
+void TransactionBuilder::Draft::AddPut(std::string key, Record record,
+                                       size_t record_bytes) {
   bytes += record_bytes;
   transaction.writes.push_back({std::move(key), std::move(record), 0});
 }
@@ -34,9 +34,9 @@
 std::optional<Transaction> TransactionBuilder::Build(
     const PendingTransaction& pending, uint64_t write_fence) const {
   Draft draft;
-  draft.Require(keys::Partition(term_.partition), term_.fencing_token);
-  draft.Require(keys::WriteFence(term_.partition, term_.fencing_token),
-                write_fence);
+  draft.AddCondition(keys::Partition(term_.partition), term_.fencing_token);
+  draft.AddCondition(keys::WriteFence(term_.partition, term_.fencing_token),
+                     write_fence);
   AddJobs(draft, pending);
   if (pending.load) AddLoad(draft, *pending.load);
   AddTeams(draft, pending);
@@ -50,7 +50,7 @@
   // been transferred. Both change the job's record, whose modification revision
   // is therefore a condition.
   std::map<std::string, uint64_t> revisions;
-  for (const Job* job : pending.starting) {
+  for (const Job* job : pending.starting_jobs) {
     revisions[job->spec().id] = job->mod_revision;
   }
   for (const std::string& id : pending.done_jobs) {
@@ -59,7 +59,7 @@
     JobRecord record = FinalRecord(job->record, JobState::kDone,
                                    context_.state_limits.ValueBytes());
     size_t bytes = RecordBytes(record);
-    draft.Put(keys::Job(id), std::move(record), bytes);
+    draft.AddPut(keys::Job(id), std::move(record), bytes);
   }
   for (const auto& [id, owners] : pending.transfers) {
     const Job* job = context_.state_cache.FindJob(id);
@@ -67,15 +67,15 @@
     JobRecord record = job->record;
     record.owners = owners;
     size_t bytes = RecordBytes(record);
-    draft.Put(keys::Job(id), std::move(record), bytes);
+    draft.AddPut(keys::Job(id), std::move(record), bytes);
   }
-  for (const Job* job : pending.ordered_starts) {
+  for (const Job* job : pending.ordered_start_jobs) {
     const std::string& id = job->spec().id;
     if (pending.transfers.contains(id)) continue;
-    draft.Put(keys::Job(id), job->record, RecordBytes(job->record));
+    draft.AddPut(keys::Job(id), job->record, RecordBytes(job->record));
   }
   for (const auto& [id, revision] : revisions) {
-    draft.Require(keys::Job(id), revision);
+    draft.AddCondition(keys::Job(id), revision);
   }
 }
 
@@ -84,7 +84,7 @@
   for (const std::string& id : load.failing) {
     bytes += id.size() + kListEntryBytes;
   }
-  draft.Put(keys::Load(term_.partition), load, bytes);
+  draft.AddPut(keys::Load(term_.partition), load, bytes);
 }
 
 void TransactionBuilder::AddTeams(Draft& draft,
@@ -93,9 +93,10 @@
   for (const auto& [name, record] : pending.teams) {
     auto stored = stored_teams.find(name);
     bool is_new = stored == stored_teams.end();
-    draft.Require(keys::Team(name), is_new ? 0 : stored->second.mod_revision);
+    draft.AddCondition(keys::Team(name),
+                       is_new ? 0 : stored->second.mod_revision);
     size_t small_records = 1 + record.shares.size() / kSharesPerSmallRecord;
-    draft.Put(keys::Team(name), record, kSmallRecordBytes * small_records);
+    draft.AddPut(keys::Team(name), record, kSmallRecordBytes * small_records);
   }
 }
 
@@ -121,7 +122,7 @@
   if (!segments) return false;
   for (SegmentWrite& segment : *segments) {
     std::string key = keys::Segment(term_.partition, segment.slot);
-    draft.Require(key, segment.mod_revision);
+    draft.AddCondition(key, segment.mod_revision);
     transaction.writes.push_back({key, std::move(segment.segment), 0});
   }
   return true;
--- a/src/core/partition/transaction_builder.h
+++ b/src/core/partition/transaction_builder.h
@@ -36,8 +36,8 @@
     Transaction transaction;
     size_t bytes = 0;
 
-    void Require(std::string key, uint64_t mod_revision);
-    void Put(std::string key, Record record, size_t record_bytes);
+    void AddCondition(std::string key, uint64_t mod_revision);
+    void AddPut(std::string key, Record record, size_t record_bytes);
   };
   void AddJobs(Draft& draft, const PendingTransaction& pending) const;
   void AddLoad(Draft& draft, const LoadRecord& load) const;
--- a/src/core/partition/worker_commands.cc
+++ b/src/core/partition/worker_commands.cc
@@ -14,15 +14,15 @@
 bool WorthSaving(const BoundAttempt& attempt, const CommandPolicy& policy) {
   const JobSpec& spec = attempt.job->spec();
   bool saves = spec.checkpoint.count() > 0 && !attempt.stop_without_saving;
-  if (!saves || !policy.wanted(attempt)) return false;
+  if (!saves || !policy.job_active(attempt)) return false;
   if (!attempt.running_since) return true;
   Duration since_checkpoint =
       (policy.now - *attempt.running_since) % spec.checkpoint;
   return since_checkpoint > spec.save;
 }
 
-WorkerCommand StopOf(const TaskKey& key, const BoundAttempt& attempt,
-                     const CommandPolicy& policy) {
+WorkerCommand MakeStopCommand(const TaskKey& key, const BoundAttempt& attempt,
+                              const CommandPolicy& policy) {
   Duration grace = WorthSaving(attempt, policy)
                        ? attempt.job->spec().save + kSaveMargin
                        : Duration(0);
@@ -54,8 +54,10 @@
     } else if (!is_bound) {
       reactions.stops.push_back(
           {Op::kStop, task.job, task.task, task.attempt, {}});
-    } else if (!policy.wanted(bound->second) || bound->second.StopRequested()) {
-      reactions.stops.push_back(StopOf(bound->first, bound->second, policy));
+    } else if (!policy.job_active(bound->second) ||
+               bound->second.StopRequested()) {
+      reactions.stops.push_back(
+          MakeStopCommand(bound->first, bound->second, policy));
     }
   }
   return reactions;
@@ -69,7 +71,7 @@
   if (attempt.bound_by_previous_owner || attempt.reported || attempt.ending) {
     return false;
   }
-  if (attempt.StopRequested() || !policy.wanted(attempt)) return false;
+  if (attempt.StopRequested() || !policy.job_active(attempt)) return false;
   if (FindReported(heartbeat, key, attempt.attempt) != nullptr) return false;
   // A start that was sent in an earlier agent epoch may have been carried out
   // in that epoch.
@@ -83,16 +85,16 @@
                                             const CommandPolicy& policy) {
   std::vector<WorkerCommand> stops;
   for (auto& [key, attempt] : machine.bound) {
-    bool should_run = policy.wanted(attempt) && !attempt.StopRequested();
+    bool should_run = policy.job_active(attempt) && !attempt.StopRequested();
     if (attempt.stop_sent || should_run) continue;
     // A start that was sent may have been carried out although no heartbeat
     // shows the task yet. If the start arrives after this stop, the stop has no
     // effect, and the answer to the heartbeat that shows the task repeats it.
-    bool there = attempt.state ? *attempt.state != TaskState::kExited
-                               : attempt.start_sent.has_value();
-    if (!there) continue;
+    bool may_be_on_worker = attempt.state ? *attempt.state != TaskState::kExited
+                                          : attempt.start_sent.has_value();
+    if (!may_be_on_worker) continue;
     attempt.stop_sent = true;
-    stops.push_back(StopOf(key, attempt, policy));
+    stops.push_back(MakeStopCommand(key, attempt, policy));
   }
   return stops;
 }
--- a/src/core/partition/worker_commands.h
+++ b/src/core/partition/worker_commands.h
@@ -19,7 +19,7 @@
   SteadyTime now{};
   // Whether the job of a bound attempt is neither done nor cancelled. The
   // attempt may have to stop all the same (BoundAttempt::StopRequested).
-  std::function<bool(const BoundAttempt&)> wanted;
+  std::function<bool(const BoundAttempt&)> job_active;
 };
 
 // Returns the commands that answer the machine's newest heartbeat: stops, then
--- a/src/core/partition/worker_responder.cc
+++ b/src/core/partition/worker_responder.cc
@@ -25,7 +25,7 @@
   policy.may_start = context_.state_watcher.Fresh() &&
                      machine.fencing_token_seen &&
                      machine.TakesTasks(context_.now());
-  policy.wanted = [this](const BoundAttempt& attempt) {
+  policy.job_active = [this](const BoundAttempt& attempt) {
     return IsWanted(context_, attempt);
   };
   return policy;
--- a/tests/answer_bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -379,7 +379,7 @@
   Machine machine;
   machine.bound[{"run-1", 0}] = own;
   CommandPolicy policy;
-  policy.wanted = [](const BoundAttempt&) { return false; };
+  policy.job_active = [](const BoundAttempt&) { return false; };
   ASSERT_EQ(BuildDirectStops(machine, policy).size(), 1u);
   EXPECT_TRUE(BuildDirectStops(machine, policy).empty());  // once
   // One that has not been sent needs no stop.
--- a/tests/partition_units_test.cc
+++ b/tests/partition_units_test.cc
@@ -291,7 +291,7 @@
   reply.status = 200;
   environment_.out.Handle(reply);
   EXPECT_TRUE(machines_.WasDeleted("m-1"));
-  EXPECT_TRUE(MachineHealth::IsForgettable(*machines_.Find("m-1")));
+  EXPECT_TRUE(MachineHealth::CanRemove(*machines_.Find("m-1")));
 }
 
 TEST_F(PartitionUnit, SilenceOfMostMachinesAtOnceIsNotBelieved) {
@@ -459,8 +459,8 @@
 TEST_F(PartitionUnit, EveryTransactionDependsOnTheTokenAndTheWriteFence) {
   StoreJob(SmallJob());
   PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
-  pending.starting.insert(&StoredJob());
-  pending.ChangeOf(StoredJob(), 0, 1)
+  pending.starting_jobs.insert(&StoredJob());
+  pending.GetOrAddChange(StoredJob(), 0, 1)
       .record.assigned.push_back({0, 1, "m-1", "a"});
   TransactionBuilder builder(context(), term_);
   std::optional<Transaction> transaction = builder.Build(pending, 33);
