--- a/src/core/partition/pending_transaction.h
+++ b/src/core/partition/pending_transaction.h
@@ -73,8 +73,8 @@
   std::set<std::string> done_jobs;          // jobs that are then completed
   std::optional<LoadRecord> load;           // none if no load record is due
   uint32_t starts = 0;                      // the number of tasks that start
-  Duration total_wait_time{
-      0};  // the sum of the times that these tasks have waited
+  // The sum of the times that the starting tasks have waited.
+  Duration total_wait_time{0};
   std::vector<AttemptReport> reports;
 
   // The number of puts besides those of the segments.
