--- a/src/core/partition/machine_health.cc
+++ b/src/core/partition/machine_health.cc
@@ -10,15 +10,18 @@
 
 // Added to a worker's lease before it counts as expired.
 constexpr Duration kLeaseMargin = Millis(500);
+// The time between two searches for machines to delete, and the delays before
+// the next search once a call has succeeded or failed.
 constexpr Duration kDeleteInterval = Millis(500);
-constexpr Duration kAfterDeletion = Millis(300);
-constexpr Duration kAfterFailedDeletion = Millis(2000);
-// Beyond three heartbeat intervals.
+constexpr Duration kDelayAfterDeletion = Millis(300);
+constexpr Duration kDelayAfterFailedDeletion = Millis(2000);
+// Added to three heartbeat intervals before a machine counts as silent.
 constexpr Duration kSilenceMargin = Millis(2000);
-// Names in one call to the cloud.
+// The largest number of machine names in one call to the cloud.
 constexpr size_t kMaxDeletedAtOnce = 100;
-// Of all machines, at most one in so many is believed to receive no answers.
-constexpr size_t kUnreachableShare = 4;
+// If more than one machine in so many (and more than one in all) seem to
+// receive no answers, none is deleted for that reason.
+constexpr size_t kMachinesPerUnreachable = 4;
 
 }  // namespace
 
@@ -39,9 +42,11 @@
   bool answered = machine.last_answer != SteadyTime{};
   bool lease_expired = answered && machine.pending_request == 0 &&
                        now - machine.last_answer > lease;
-  // What an earlier owner last answered on (AnswerEntitlement) it knew before
-  // this ownership began, or it would have known of that. The leases that it
-  // renewed have expired by now, whether or not their workers can be asked.
+  // A former owner may answer workers only while it knows every cancellation
+  // that may have been confirmed (AnswerEntitlement). The state on which it
+  // last answered is older than this ownership, or it would have known of the
+  // new owner. So every lease that it renewed has expired once the time limit
+  // of a cancellation has passed, whether or not the workers can be reached.
   bool former_leases_expired =
       now - term_.since > WithDrift(context_.deployment.cancel);
   bool never_heard = !machine.heartbeat && !machine.bound.empty();
@@ -68,9 +73,7 @@
   return context_.now() - *machine.inbound.suspect_since > limit;
 }
 
-// If most have fallen silent at once it is more likely the network; if many
-// receive no answers, it is more likely this controller that answers too late.
-MachineHealth::Survey MachineHealth::SurveyMachines() const {
+MachineHealth::SymptomCheck MachineHealth::CheckSymptoms() const {
   Duration recent = 2 * context_.deployment.heartbeat_interval;
   size_t heard = 0;
   size_t silent = 0;
@@ -79,22 +82,22 @@
     (SilenceOf(machine) < recent ? heard : silent) += 1;
     if (InboundUnreachable(machine)) ++unreachable;
   }
-  size_t believable =
-      std::max<size_t>(1, machines_.machines().size() / kUnreachableShare);
-  return {heard >= silent, unreachable <= believable};
+  size_t max_plausible_unreachable = std::max<size_t>(
+      1, machines_.machines().size() / kMachinesPerUnreachable);
+  return {heard >= silent, unreachable <= max_plausible_unreachable};
 }
 
 const char* MachineHealth::ReasonToDelete(const Machine& machine,
-                                          const Survey& survey) const {
+                                          const SymptomCheck& symptoms) const {
   Duration lease = context_.deployment.worker_lease;
   Duration silence = SilenceOf(machine);
   Duration limit =
       machine.heartbeat
           ? 3 * context_.deployment.heartbeat_interval + kSilenceMargin
           : lease;
-  bool silent = survey.silence_believable && silence > limit;
+  bool silent = symptoms.silence_plausible && silence > limit;
   if (silent || silence > 3 * lease) return "silent";
-  if (survey.unreachability_believable && InboundUnreachable(machine)) {
+  if (symptoms.unreachability_plausible && InboundUnreachable(machine)) {
     return "inbound_unreachable";
   }
   bool to_return = machine.cordoned || machine.quarantined;
@@ -104,12 +107,11 @@
 }
 
 std::vector<std::string> MachineHealth::ChooseMachinesToDelete() {
-  const Survey survey = SurveyMachines();
+  const SymptomCheck symptoms = CheckSymptoms();
   std::vector<std::string> names;
   for (auto& [name, machine] : machines_.machines()) {
     if (names.size() >= kMaxDeletedAtOnce) break;
-    const char* reason = ReasonToDelete(machine, survey);
-    // Once asked for, a deletion may come any time: it is asked for again.
+    const char* reason = ReasonToDelete(machine, symptoms);
     if (reason == nullptr && !machine.deleting) continue;
     if (!machine.deleting) {
       context_.out.Log(LogLevel::kInfo,
@@ -141,8 +143,8 @@
                                   const CloudReply& reply) {
   call_pending_ = false;
   bool deleted = reply.status == http_status::kOk;
-  next_call_ =
-      context_.now() + (deleted ? kAfterDeletion : kAfterFailedDeletion);
+  next_call_ = context_.now() +
+               (deleted ? kDelayAfterDeletion : kDelayAfterFailedDeletion);
   if (!deleted) return;
   for (const std::string& name : names) {
     machines_.MarkDeleted(name);
