--- a/src/core/membership/fencing_token_announcer.cc
+++ b/src/core/membership/fencing_token_announcer.cc
@@ -9,14 +9,15 @@
 namespace {
 
 constexpr Duration kWorkerCallTimeout = Millis(2000);
-// Workers whose owner is gone come by themselves within a few seconds.
+// Workers whose owner has ended find the new one on their own within a few
+// seconds.
 constexpr Duration kFirstPageDelay = Millis(1000);
 constexpr Duration kPageInterval = Millis(2500);
-// After the last page the list begins anew, until this many have been asked
-// for.
+// The number of pages requested in all. After the last page of the list the
+// first one is requested again.
 constexpr int kMaxPages = 6;
-// Calls to workers at the same time: after a takeover there may be thousands of
-// workers, and most come by themselves before their turn.
+// Inspections in flight at a time. After a takeover there may be thousands of
+// workers, and most of them send a heartbeat before they are inspected.
 constexpr int kMaxInspections = 32;
 
 }  // namespace
@@ -35,8 +36,8 @@
   FetchNextPage();
 }
 
-// One page at a time, each for a token of the cloud's rate: pages on
-// credit kept the leader from scaling out after restarts.
+// Requests one page at a time, each for a token of the cloud's rate: when pages
+// were taken on credit, they kept the leader from scaling out after restarts.
 void FencingTokenAnnouncer::FetchNextPage() {
   SteadyTime now = context_.now();
   if (fetching_ || pages_asked_for_ >= kMaxPages || now < next_page_) return;
--- a/src/core/membership/misrouted_workers.cc
+++ b/src/core/membership/misrouted_workers.cc
@@ -8,13 +8,15 @@
 namespace pitchfall {
 namespace {
 
-// A worker whose owner does not answer waits four seconds for it, tries the
-// next controller a second later, and is sent back within half a second.
+// The longest time between two heartbeats here of a worker that has lost its
+// owner: it waits four seconds for the owner's answer, tries the next
+// controller a second later, and is sent back within half a second.
 constexpr Duration kSearchRound = Millis(5500);
-// So many workers of one partition have not all had a bad moment.
+// When this many workers of one partition cannot reach the owner, the fault is
+// taken to be the owner's and not that of single workers.
 constexpr uint32_t kManyWorkers = 3;
-// Beyond one and a half heartbeat intervals without any worker of a partition:
-// the time that answers and the network take.
+// Allowance for answers and the network, on top of the one and a half heartbeat
+// intervals without any worker of a partition.
 constexpr Duration kUnreachableGrace = Millis(500);
 
 }  // namespace
@@ -27,8 +29,9 @@
                           ? ownership_.OwnerOf(partition)
                           : std::string();
   if (worker.lost_owner && Count(partition) >= kManyWorkers) {
-    // To send so many back would cost each another wait, and its lease. Going
-    // round they find whoever the partition is handed to.
+    // Sending so many workers back would cost each of them another wait and its
+    // lease. Redirected to any controller, they find the one that the partition
+    // is handed over to.
     context_.out.Answer(request, http_status::kMisdirectedRequest, Redirect{});
   } else if (owner.empty()) {
     context_.out.Answer(request, http_status::kServiceUnavailable,
@@ -53,7 +56,8 @@
   return worker;
 }
 
-// A worker that comes once may only be looking for its owner.
+// A worker that has sent a single heartbeat here may only be looking for its
+// owner.
 bool MisroutedWorkers::CannotReachOwner(const Worker& worker) const {
   return worker.lost_owner || worker.last_seen - worker.first_seen >
                                   context_.deployment.heartbeat_interval;
--- a/src/core/membership/node_registration.cc
+++ b/src/core/membership/node_registration.cc
@@ -7,12 +7,12 @@
 namespace pitchfall {
 namespace {
 
-// A lease is renewed when this fraction of its time to live has passed, and a
-// renewal waits as long for its answer: several attempts may fail before the
+// A lease is renewed when this fraction of its time to live has passed, and
+// each renewal times out after as long: several attempts may fail before the
 // lease expires.
 constexpr int kRenewalsPerTtl = 4;
-// Long enough not to flood a state service that refuses calls, short enough for
-// several attempts within the shortest lease.
+// Retry delays: long enough not to flood a state service that refuses calls,
+// short enough for several attempts within the shortest lease.
 constexpr Duration kGrantRetryDelay = Millis(200);
 constexpr Duration kRenewRetryDelay = Millis(150);
 constexpr Duration kRegisterRetryDelay = Millis(200);
@@ -22,8 +22,8 @@
 void NodeRegistration::KeepLease() {
   SteadyTime now = context_.now();
   if (lease_call_in_flight_ || now < next_lease_call_) return;
-  // On credit: a controller whose renewal waited for the budget would lose its
-  // lease, and with it its partitions, because of its own other calls.
+  // Taken on credit: if a renewal waited for the budget, the controller's own
+  // other calls could make it lose its lease, and with it its partitions.
   context_.requests.TakeOnCredit(now, 1);
   lease_call_in_flight_ = true;
   if (lease_) {
--- a/src/core/membership/ownership.cc
+++ b/src/core/membership/ownership.cc
@@ -10,17 +10,19 @@
 namespace pitchfall {
 namespace {
 
-// A controller whose workers could not reach it does not get the partition back
-// sooner: if they still cannot, each return costs them another search.
+// How long a partition is not handed back to a controller whose workers could
+// not reach it: if they still cannot, each return makes them search for an
+// owner again.
 constexpr Duration kUnreachableOwnerDelay = Millis(60000);
 // How long a controller that is not the preferred owner leaves a vacant
-// partition to the one that is, which takes it over without delay.
+// partition to the preferred one, which takes it over without delay.
 constexpr Duration kTakeOverDelay = Millis(1000);
-// The same for a partition that never had an owner: at the very start the
-// others may be up within moments.
+// The same for a partition that never had an owner: when a deployment first
+// starts, the preferred owner may still be starting.
 constexpr Duration kFirstTakeOverDelay = Millis(1500);
 
-// All controllers of the deployment in an order on which they agree.
+// Returns the labels of all controllers of the deployment, in an order on which
+// they all agree.
 std::vector<std::string> ConfiguredLabels(const Deployment& deployment) {
   std::vector<std::string> labels{deployment.label};
   for (const auto& peer : deployment.peers) labels.push_back(peer.label);
@@ -94,8 +96,8 @@
 
 bool Ownership::IsVacant(const StoredPartition* current) const {
   if (current == nullptr) return true;
-  // An earlier incarnation of this process is certainly dead: only one process
-  // can hold this controller's addresses.
+  // An earlier incarnation of this controller is certainly dead: only one
+  // process at a time can bind the controller's addresses.
   if (current->value.label == context_.deployment.label) return true;
   return !context_.state_cache.NodeAlive(current->value);
 }
@@ -132,7 +134,7 @@
   }
   std::string preferred = PreferredOwner(partition);
   if (preferred == context_.deployment.label) return;
-  // One that has just come may go again.
+  // A controller that has only just registered may fail again soon.
   auto alive = alive_since_.find(preferred);
   if (alive == alive_since_.end() ||
       now - alive->second < context_.tuning.handover_after) {
@@ -149,8 +151,8 @@
                                  const StoredPartition* current) {
   PartitionStatus& status = partitions_[partition];
   std::optional<SteadyTime> registered_at = registration_.registered_at();
-  // Without its node key this controller would count as dead, and the partition
-  // as vacant, at once.
+  // Without its node key the others would count this controller as dead, and
+  // the partition as vacant again at once.
   if (!IsVacant(current) || !registered_at) {
     status.vacant_since.reset();
     return;
@@ -164,7 +166,8 @@
 }
 
 void Ownership::TakeOver(uint32_t partition, const StoredPartition* current) {
-  // On credit: no worker of the partition has an owner until this is stored.
+  // Taken on credit: until this is stored the partition's workers have no
+  // owner.
   SteadyTime now = context_.now();
   context_.writes.TakeOnCredit(now, 1);
   context_.requests.TakeOnCredit(now, 1);
@@ -172,7 +175,8 @@
   Transaction txn;
   txn.conditions.push_back({keys::Partition(partition),
                             current == nullptr ? 0 : current->mod_revision});
-  // Fails if the owner has registered again since the state was read.
+  // The transaction fails if the old owner has registered again since the state
+  // was read.
   if (current != nullptr && current->value.label != own_label) {
     txn.conditions.push_back(
         {keys::Node(current->value.label, current->value.incarnation), 0});
@@ -199,7 +203,7 @@
                          unreachable ? context_.deployment.label : ""};
   Transaction txn;
   txn.conditions.push_back({keys::Partition(partition), current->mod_revision});
-  // Fails if the new owner has gone since the state was read.
+  // The transaction fails if the new owner has ended since the state was read.
   txn.conditions.push_back(
       {keys::Node(label, node->value.incarnation), node->mod_revision});
   txn.writes.push_back({keys::Partition(partition), std::move(record)});
@@ -214,8 +218,8 @@
   context_.out.CallState(
       std::move(txn), context_.tuning.state_timeout,
       [this, partition](const StateReply&) {
-        // Whatever the answer, or without one: the next read shows who owns the
-        // partition now.
+        // A missing or failed answer does not tell whether the change was
+        // stored; the next read shows who owns the partition.
         context_.state_watcher.AfterNextRead([this, partition](bool) {
           partitions_[partition].change_in_flight = false;
         });
--- a/src/core/membership/peers.cc
+++ b/src/core/membership/peers.cc
@@ -8,24 +8,26 @@
 namespace {
 
 constexpr Duration kHeartbeatInterval = Millis(500);
-// After storing a cancellation; more than one in that time share a heartbeat.
+// The interval after a cancellation has been stored; cancellations stored
+// within it share a heartbeat.
 constexpr Duration kUrgentHeartbeatInterval = Millis(50);
-// A peer counts as live for this long after its last heartbeat, five intervals.
+// A peer counts as live for this long after its last heartbeat: five intervals.
 constexpr Duration kPeerTimeout = Millis(2500);
-// Keeps a heartbeat small enough to be sent twice a second.
+// Keeps a heartbeat, which is sent twice a second, small.
 constexpr size_t kMaxCancellationsPerHeartbeat = 500;
-// Reads come several times a second; one that is late means little, a second
-// without any that this controller or the state service has failed.
+// Reads happen several times a second. A single late one means little; a second
+// without any means that this controller or the state service has failed.
 constexpr Duration kMaxHealthyStateAge = Millis(1200);
-// The age that a controller tells which has not read the state yet: beyond any
-// limit.
+// The state age that a controller reports before its first complete read; it
+// exceeds every limit.
 constexpr Duration kStateNeverRead = Millis(3'600'000);
 
 }  // namespace
 
 bool Peers::OnHeartbeat(const PeerHeartbeat& heartbeat) {
-  // A network partition can hold messages back for minutes; taken in, they
-  // would make a peer that is gone look live, with free capacity.
+  // A network partition can delay messages for minutes. If such messages were
+  // accepted, a peer that has ended would look live and seem to have free
+  // capacity.
   Duration age = context_.out.now().wall - heartbeat.sent;
   if (age > kPeerTimeout + 2 * context_.deployment.time_bound) return false;
   SteadyTime now = context_.now();
@@ -59,7 +61,7 @@
 
 void Peers::SendHeartbeat(const LocalStatus& status) {
   SteadyTime now = context_.now();
-  // The first heartbeat is sent in the first step of the process.
+  // The first heartbeat is sent as soon as the process starts its work.
   if (!first_sent_) first_sent_ = now;
   announced_cancellations_ = status.stored_cancellations;
   last_sent_ = now;
@@ -94,10 +96,11 @@
 }
 
 void Peers::AddCancellationEchoes(PeerHeartbeat& heartbeat) const {
-  // One list of cancellations serves all: what is new to the peer that knows
-  // least. From the one on for which the list would grow too long, peers get no
-  // echo, because an echo without the whole list would let them go on with
-  // tasks of a cancelled job.
+  // One list of cancellations serves all peers: it has those that are new to
+  // the peer with the lowest revision among the peers that get an echo. Peers
+  // for which the list would be too long, and all with lower revisions, get no
+  // echo: an echo without the complete list would let them go on with tasks of
+  // a cancelled job.
   for (const Peer* peer : LivePeersByRevision()) {
     auto cancelled = context_.state_cache.CancelledSince(
         peer->heartbeat.revision, kMaxCancellationsPerHeartbeat);
--- a/src/core/membership/peers.h
+++ b/src/core/membership/peers.h
@@ -1,5 +1,5 @@
-// The other controllers as their heartbeats show them, and the heartbeats that
-// this controller sends to them.
+// The other controllers of the deployment (peers) as their heartbeats show
+// them, and the heartbeats that this controller sends to them.
 #ifndef PITCHFALL_CORE_MEMBERSHIP_PEERS_H_
 #define PITCHFALL_CORE_MEMBERSHIP_PEERS_H_
 
@@ -16,8 +16,7 @@
 
 namespace pitchfall {
 
-// What this controller tells the others of itself, beyond what the context
-// holds.
+// What this controller reports in its heartbeats beyond what the context holds.
 struct LocalStatus {
   struct OwnedPartition {
     uint32_t number = 0;
@@ -25,55 +24,59 @@
     FreeCapacity free;
   };
   RateUsage usage;
-  // Workers that came here because they could not reach their owner, by
-  // partition.
+  // How many workers sent their heartbeat here because they could not reach
+  // their owner, indexed by partition.
   std::vector<uint32_t> misrouted_workers;
-  std::vector<OwnedPartition> partitions;
-  // How many cancellations this process has stored so far.
+  std::vector<OwnedPartition> partitions;  // that this process owns
+  // The number of cancellations that this process has stored so far.
   uint64_t stored_cancellations = 0;
 };
 
-// Keeps the newest heartbeat of each other controller. Alone writes
-// `cancelled_by_peers`, the capacity table's news of owners and the
-// cancellation watermark of the context.
+// Keeps the newest heartbeat of each peer. No other class writes
+// `cancelled_by_peers`, the free capacity in the capacity table that owners
+// report, or the cancellation watermark of the context.
 class Peers {
  public:
   explicit Peers(Context& context) : context_(context) {}
 
-  // Takes a heartbeat in, with the free capacity and the cancellations that it
-  // names. Returns false, without any effect, if it is so old that a network
-  // partition must have held it back.
+  // Stores a heartbeat and applies the free capacity and the cancellations that
+  // it lists. Returns false, without any effect, if the heartbeat is so old
+  // that a network partition must have delayed it.
   bool OnHeartbeat(const PeerHeartbeat& heartbeat);
 
-  // Drops the cancellations learned from peers that the state cache shows too.
+  // Drops the cancellations learned from peers that the state cache shows as
+  // well.
   void ForgetStoredCancellations();
 
   // Whether a heartbeat is due: after the regular interval, or soon after a
-  // cancellation has been stored, so that the others stop its tasks.
+  // cancellation has been stored, so that the other controllers stop the job's
+  // tasks. `stored_cancellations` is the count in LocalStatus.
   bool HeartbeatDue(uint64_t stored_cancellations) const;
 
-  // Sends a heartbeat to all other controllers and notes the free capacity of
-  // the own partitions.
+  // Sends a heartbeat to all peers and records the free capacity of this
+  // controller's own partitions.
   void SendHeartbeat(const LocalStatus& status);
 
-  // Whether users are well served here. While nobody can reach the state
-  // service, they are better off with an answer that says when to come back
-  // than with no controller at all. If only this one cannot, they are better
-  // off with another. One that hears none of the others either cannot tell, and
-  // is more likely cut off than all of them gone.
+  // Whether this controller should serve users. It should while its state is
+  // recent. While no controller can reach the state service, it still should,
+  // because an answer that says when to retry is better than no controller at
+  // all. If a live peer has recent state, users should go to that peer. A
+  // controller that hears from no peer cannot tell these cases apart and is
+  // more likely cut off itself than all peers are down, so it should not.
   bool Healthy() const;
 
-  // The usage of each controller ever heard; none for those not heard lately.
+  // The usage of every peer that has ever sent a heartbeat; empty entries are
+  // peers that have not sent one recently.
   std::vector<std::optional<RateUsage>> RateUsages() const;
 
-  // The first controller, by label, that has lately told of workers that cannot
-  // reach the partition's owner; none if there is none.
+  // Returns the first live peer, by label, that reports workers of the
+  // partition that cannot reach its owner.
   std::optional<std::string> FindMisroutedWorkers(uint32_t partition) const;
 
  private:
   struct Peer {
     PeerHeartbeat heartbeat;
-    SteadyTime heard{};
+    SteadyTime heard{};  // when the heartbeat arrived
   };
 
   Duration SinceHeard(const Peer& peer) const {
@@ -81,17 +84,18 @@
   }
   bool IsLive(const Peer& peer) const;
   PeerHeartbeat BuildHeartbeat(const LocalStatus& status) const;
-  // Echoes what was heard from the others, with the cancellations that make the
-  // echoes count (see core/state/cancellation_watermark.h).
+  // Adds the echoes of the peers' sender times, and the cancellations that make
+  // the echoes valid (see core/state/cancellation_watermark.h).
   void AddCancellationEchoes(PeerHeartbeat& heartbeat) const;
-  // The live peers, those that know the most of the state first.
+  // Returns the live peers, those whose state has the highest revision first.
   std::vector<const Peer*> LivePeersByRevision() const;
 
   Context& context_;
-  std::map<std::string, Peer> peers_;  // by label
-  std::optional<SteadyTime> first_sent_;
+  std::map<std::string, Peer> peers_;     // by label
+  std::optional<SteadyTime> first_sent_;  // empty: no heartbeat sent yet
   SteadyTime last_sent_{};
   SteadyTime next_due_{};
+  // The count of stored cancellations at the last heartbeat.
   uint64_t announced_cancellations_ = 0;
 };
 
--- a/src/core/membership/shared_rate_limits.cc
+++ b/src/core/membership/shared_rate_limits.cc
@@ -5,28 +5,30 @@
 namespace pitchfall {
 namespace {
 
-// How many controllers share the limits, as far as one knows before it hears
-// any other.
+// How many controllers are assumed to share the limits before this one has
+// heard from any other.
 constexpr double kInitialStateSharers = 3;
 constexpr double kInitialCloudSharers = 2;
 // The fraction of a limit that all controllers together aim to use, so that
-// bursts that meet seldom go over it.
+// coinciding bursts seldom exceed it.
 constexpr double kUsableFraction = 0.95;
-// The fraction of an even share that no usage of others takes away.
+// The fraction of an even share that a controller keeps whatever the others
+// use.
 constexpr double kGuaranteedFraction = 0.8;
-// Seconds for which a bucket saves up tokens.
+// The burst of a bucket, in seconds of its rate.
 constexpr double kBurstSeconds = 0.7;
-// Every bucket holds one token at least, or nothing could ever be taken.
+// Every bucket holds at least one token, because otherwise nothing could ever
+// be taken.
 constexpr double kMinBurst = 1.0;
-// The leader lists, creates and deletes machines; the others only look for
-// workers and share the rest evenly.
+// Shares of the cloud's rate. The leader lists, creates and deletes machines;
+// the others only look for workers and divide the rest evenly.
 constexpr double kLeaderCloudShare = 0.6;
 constexpr double kOthersCloudShare = 0.4;
-// The weight of the newest of the measurements, which come twice a second: the
-// average reaches back about two seconds.
+// The weight of the newest measurement in the moving average. With two
+// measurements per second the average covers about two seconds.
 constexpr double kNewestWeight = 0.25;
-// A shorter time between two measurements, in seconds, counts as this long: the
-// few calls in it say nothing of the rate.
+// The shortest time between two measurements, in seconds; a shorter one counts
+// as this long, because its few calls say nothing about the rate.
 constexpr double kMinMeasurementSeconds = 0.1;
 
 }  // namespace
