--- a/src/core/scheduling/demand.cc
+++ b/src/core/scheduling/demand.cc
@@ -8,12 +8,14 @@
 namespace pitchfall {
 namespace {
 
+// Tasks of one job, of all partitions or of one.
 struct JobShare {
   uint32_t running = 0;
   uint32_t waiting = 0;
 };
 
-// Tasks of the job that count for `partition`.
+// Counts the job's tasks in the partition, or in all partitions if `partition`
+// is empty.
 JobShare ShareOf(const Job& job, uint32_t partition_count,
                  std::optional<uint32_t> partition) {
   if (!partition) return {job.assigned, job.waiting()};
@@ -40,7 +42,8 @@
   return {scale(r.cpus), scale(r.gpus), scale(r.memory)};
 }
 
-// A job that is late already presses little: nothing more can be missed.
+// The fraction for a job that has missed all its due times: its tasks can wait,
+// because nothing more can be missed.
 constexpr double kLatePressure = 0.3;
 
 }  // namespace
@@ -60,7 +63,7 @@
   for (const Objective& objective : deployment.objectives) {
     if (objective.job_class != spec.job_class) continue;
     if (objective.kind == "finished") consider(ToSeconds(objective.within));
-    // Tasks that should start at once cannot wait for one another.
+    // Tasks that should start at once cannot run one after another.
     if (objective.kind == "wait") return 1;
     bound = true;
   }
@@ -92,7 +95,8 @@
     if (job->waiting() == 0) continue;
     int64_t admissible = job->waiting();
     if (failing.contains(spec.id)) {
-      // A service is tried again for ever, and needs a place for that.
+      // A failing service is retried for ever and needs capacity for one
+      // replica.
       if (spec.shape != Shape::kService) continue;
       admissible = 1;
     }
@@ -109,7 +113,7 @@
       limit(team->second.gpus_limit, use.gpus, spec.resources.gpus);
       use += spec.resources * admissible;
     }
-    // A partition's share of what is admissible, rounded up.
+    // The partition's share of the admissible tasks, rounded up.
     int64_t mine =
         partition
             ? (admissible * share.waiting + job->waiting() - 1) / job->waiting()
--- a/src/core/scheduling/displacement.cc
+++ b/src/core/scheduling/displacement.cc
@@ -6,9 +6,11 @@
 namespace pitchfall {
 namespace {
 
-// Processor seconds of others' work that starting without a fetch is worth.
+// How much work of other jobs, in processor seconds, may be lost so that a
+// replica starts without fetching its image.
 constexpr double kMaxLostForImageS = 20;
 
+// A task that may be stopped.
 struct Candidate {
   TaskKey key;
   Priority priority = Priority::kLow;
@@ -16,7 +18,8 @@
   Resources resources;
 };
 
-// A task that can save loses what saving takes; any other all that it has done.
+// Returns the processor seconds that stopping the task loses: what saving takes
+// if its job makes checkpoints, otherwise all that it has done.
 double LostWork(const BoundAttempt& task, SteadyTime now) {
   if (!task.running_since) return 0;
   const JobSpec& spec = task.job->spec();
@@ -26,6 +29,8 @@
          Resources::kUnit;
 }
 
+// The machine's tasks of lower priority that are not stopping yet, the one that
+// loses the least work first.
 std::vector<Candidate> Candidates(const JobSpec& spec, const Machine& machine,
                                   SteadyTime now) {
   std::vector<Candidate> candidates;
--- a/src/core/scheduling/displacement.h
+++ b/src/core/scheduling/displacement.h
@@ -1,5 +1,5 @@
-// Which tasks of a machine to stop so that a more important one can start
-// there.
+// Selects the tasks of a machine that should stop so that a task of higher
+// priority can start there.
 #ifndef PITCHFALL_CORE_SCHEDULING_DISPLACEMENT_H_
 #define PITCHFALL_CORE_SCHEDULING_DISPLACEMENT_H_
 
@@ -16,50 +16,61 @@
 
 namespace pitchfall {
 
+// A way to get capacity for one task on a machine.
 struct Displacement {
   Machine* machine = nullptr;
-  std::vector<TaskKey> tasks;  // none: stopping tasks make enough room
-  double lost_s = 0;           // processor seconds of work that is lost
+  // The tasks to stop; empty: the capacity that is free or becomes free once
+  // stopping tasks have ended is enough.
+  std::vector<TaskKey> tasks;
+  double lost_s = 0;  // processor seconds of work that is lost
 };
 
-// What the machine will have free once the tasks told to stop are gone.
+// Returns the capacity that the machine will have free once the tasks told to
+// stop have ended.
 Resources ExpectedCapacity(const Machine& machine);
 
-// Tasks of lower priority whose end makes capacity for one task of the job,
-// beside `expected_capacity`, those that lose the least work first. None if
-// they do not suffice.
+// Selects tasks of lower priority whose end, together with `expected_capacity`,
+// makes capacity for one task of the job; those that lose the least work come
+// first. Returns nothing if all of them do not suffice.
 std::optional<Displacement> FindDisplacement(const JobSpec& spec,
                                              Machine& machine,
                                              const Resources& expected_capacity,
                                              SteadyTime now);
 
-// Makes capacity for the replicas that one plan finds no machine for, or none
-// with their image. Remembers what the plan has already promised to others.
+// Makes capacity for replicas of services for which one plan finds no machine,
+// or no machine that has their image. Keeps track of the capacity that the plan
+// has already promised to other replicas.
 class Displacer {
  public:
   explicit Displacer(Outbox& out) : out_(out) {}
 
+  // Forgets what the last plan has promised.
   void BeginPlan(SteadyTime now);
-  // Tells tasks of lower priority to stop so that as many as `replicas` more
-  // tasks of the job can start in one of the next plans.
+  // Selects tasks of lower priority to stop so that up to `replicas` more tasks
+  // of the job can start in one of the next plans. `use` has the zones of the
+  // job's present tasks.
   void DisplaceFor(const JobSpec& spec, const ZoneUse& use,
                    const std::vector<Machine*>& machines, int64_t replicas);
-  // The same for one replica, on a machine that has the image. False, and
-  // nothing is stopped, if too much work would be lost for it.
+  // The same for one replica, on a machine that has the image. Returns false,
+  // and stops nothing, if no machine allows it or if more work would be lost
+  // than a start without fetching the image is worth.
   bool DisplaceOnMachineWithImage(const JobSpec& spec, const ZoneUse& use,
                                   const std::vector<Machine*>& machines);
 
  private:
-  // The one that loses the least work.
+  // Finds the displacement that loses the least work; with `with_image` only on
+  // machines that have the job's image.
   std::optional<Displacement> FindCheapest(
       const JobSpec& spec, const ZoneUse& use,
       const std::vector<Machine*>& machines, bool with_image);
-  // Tells the tasks to stop, and keeps what gets free for the job.
+  // Marks the tasks as displaced, so that they are told to stop, and reserves
+  // the capacity that becomes free for a task of the job.
   void Stop(const Displacement& displacement, const JobSpec& spec);
 
   Outbox& out_;
   SteadyTime now_{};
-  // What will be free on machines, less what is meant for replicas.
+  // The capacity that machines will have free, less what is promised to
+  // replicas. A machine gets its entry when the plan first considers it.
   std::map<Machine*, Resources> expected_capacity_;
 };
 
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -10,22 +10,26 @@
 
 namespace {
 
+// Due time of jobs that can meet none: after all others.
 constexpr int64_t kNever = std::numeric_limits<int64_t>::max() / 2;
-// Of a fetch that has to begin now, as a typical image takes; one on its way is
-// half done.
+// Half the time in which a typical image is fetched. A fetch that has to begin
+// now takes two halves; one that is under way is taken to be half done.
 constexpr Duration kHalfFetch = Millis(2000);
+// A waiting job gains one level of priority for each of these intervals.
 constexpr Duration kAgeStep = Millis(420000);
-// Running tasks are half done, as far as anybody knows.
+// The fraction of a running task's work that is taken to be left; its actual
+// progress is not known.
 constexpr double kLeftOfRunning = 0.5;
 
-// A job in the plan of its team; times are seconds from now.
+// A job in the plan of its team. Times are in seconds from now.
 struct Planned {
   const Job* job = nullptr;
   int priority = 0;
-  double work = 0;  // processor seconds
-  std::vector<double> dues;
-  size_t due = 0;  // the one that is aimed at
+  double work = 0;           // processor seconds
+  std::vector<double> dues;  // that it could still meet, the earliest first
+  size_t due = 0;            // index of the one that the plan aims at
 
+  // Whether the plan expects it to miss all its due times.
   bool hopeless() const { return due >= dues.size(); }
 };
 
@@ -56,9 +60,9 @@
   return planned;
 }
 
-// One pass of Moore's algorithm over the jobs that still aim at a due time;
-// whether any had to step back. Work is done at `speed` processors, from
-// `begin` on.
+// Runs one pass of Moore's algorithm over the jobs that still aim at a due
+// time, and returns whether any of them was moved to its next due time. `speed`
+// processors do the work, starting `begin` seconds from now.
 bool StepBack(std::vector<Planned*>& jobs, double begin, double speed) {
   std::sort(jobs.begin(), jobs.end(), [](const Planned* a, const Planned* b) {
     if (a->hopeless() || b->hopeless()) return b->hopeless() && !a->hopeless();
@@ -85,7 +89,7 @@
   return any;
 }
 
-// Due times for a team's jobs, the more important ones first.
+// Selects the due times that a team's jobs aim at, by falling priority.
 void PlanTeam(std::vector<Planned>& jobs, double speed) {
   std::map<int, std::vector<Planned*>, std::greater<>> by_priority;
   for (Planned& job : jobs) by_priority[job.priority].push_back(&job);
@@ -97,7 +101,8 @@
   }
 }
 
-// Processors that standing jobs keep, so that they work off nothing.
+// Returns the number of processors that services occupy; they are not available
+// for the work of other jobs.
 double BoundByServices(const std::vector<Planned>& jobs) {
   double bound = 0;
   for (const Planned& planned : jobs) {
@@ -109,8 +114,9 @@
   return bound;
 }
 
-// How many processors work for an unlimited team, about: those that are
-// rented, or will be by the leader's last decision.
+// Estimates how many processors work for a team without a limit: those that
+// assigned tasks use or, if that is more, those of the number of machines that
+// the leader last decided on.
 double ClusterSpeed(const StateCache& state_cache) {
   double speed = 1;
   for (const auto& [id, job] : state_cache.open_jobs()) {
@@ -155,8 +161,8 @@
     if (a.first != b.first) return a.first < b.first;
     return a.second->spec().id < b.second->spec().id;
   };
-  // Within a team the more important jobs come first, and as long as they all
-  // fit into its guarantee together they need not wait for other teams.
+  // Within a team the jobs of higher priority come first. As long as jobs
+  // together fit into the team's guarantee, they need not wait for other teams.
   for (auto& [name, jobs] : teams) {
     auto team = deployment.teams.find(name);
     int64_t limit =
@@ -172,7 +178,7 @@
       int64_t submitted = job.record.submitted.time_since_epoch().count();
       int64_t due = kNever;
       if (job.spec().shape == Shape::kService) {
-        // It serves somebody all the time: its replicas start before tasks
+        // A service is in use all the time: its replicas start before tasks
         // that only have to be done by some moment.
         due = 0;
       } else if (!planned.hopeless()) {
@@ -225,18 +231,19 @@
     Resources free = machine->Free();
     if (!spec.resources.FitsIn(free) || avoid.contains(machine->name)) continue;
     if (!Allowed(spec, *machine, use)) continue;
-    // Replicas of one service start on different machines at the same time:
-    // an image that is only planned for is no nearer than none.
+    // Replicas of one service start on different machines at the same time, so
+    // a fetch that is only planned does not bring the image any nearer.
     bool coming = service ? machine->bound_images.contains(spec.image)
                           : machine->WillHaveImage(spec.image);
     int image = machine->images.contains(spec.image) ? 0 : coming ? 1 : 2;
     bool together = service && machine->HasTaskOf(spec.id);
     int64_t tasks = image < 2 ? 0 : spec.resources.CountIn(free, waiting);
-    // Seconds until its start, about, if that is what counts.
+    // Estimated seconds until the task starts; 0 if that does not matter.
     int64_t delay =
         hurried ? (machine->until_heartbeat + image * kHalfFetch) / Millis(1000)
                 : 0;
-    // Whether a slot for a larger task that waits is lost by it.
+    // Whether the machine would fit fewer of the largest waiting tasks after
+    // this start.
     bool breaks =
         widest > spec.resources.cpus &&
         (free.cpus - spec.resources.cpus) / widest < free.cpus / widest;
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -1,4 +1,4 @@
-// Which waiting job goes first, and on which machine a task goes.
+// Decides which job gets capacity first, and on which machine a task starts.
 #ifndef PITCHFALL_CORE_SCHEDULING_PLACEMENT_H_
 #define PITCHFALL_CORE_SCHEDULING_PLACEMENT_H_
 
@@ -17,50 +17,75 @@
 
 namespace pitchfall {
 
-// Smaller goes first: guarantee, priority, due time, age.
+// Position of a job in the order; smaller comes first. The parts are: the class
+// (0: waited too long to begin, 1: within its team's guarantee, 2: any other),
+// the negated aged priority, the due time and the time of submission, both in
+// ticks of WallTime.
 using JobRank = std::tuple<int, int, int64_t, int64_t>;
 
-// A job that has waited this long without any of its tasks having started goes
-// before all others until one has: large jobs and unimportant ones must not
-// wait for ever behind a stream of small and urgent ones.
+// A job that has waited this long without any of its tasks having started comes
+// before all others until one has: otherwise large jobs and jobs of low
+// priority could wait for ever behind a stream of small and urgent ones.
 inline constexpr Duration kMustBegin = Millis(150000);
+// Whether the job has waited that long and none of its tasks is assigned or
+// done.
 bool MustBegin(const Job& job, WallTime now);
 
-// The job's priority as far as the order goes; it rises as the job ages. Who
-// may make capacity for whom follows from the job's own priority alone.
+// Returns the job's priority for the order of jobs, which rises as the job
+// ages. Ageing never entitles a job to stop tasks of others, which depends on
+// its own priority alone, but it protects the job's tasks from preemption (see
+// ChooseVictims).
 int AgedPriority(const Job& job, WallTime now);
 
-// All open jobs in the order in which they should get capacity.
+// Returns all jobs that are not final in the order in which they should get
+// capacity.
 //
-// Due times are those of the deadline and of the class's objectives. Under
-// overload not all can be met, and going by the earliest would make all a
-// little late. Of a team's jobs of one priority as many as possible are planned
-// to be on time (Moore's algorithm: by due time, and whenever one would be
-// late, the one with the most work so far steps back to its next due time);
-// those that can meet none come last.
+// Due times are those of the deadline and of the objectives of the job's class.
+// Under overload not all of them can be met, and the order by earliest due time
+// would make all jobs a little late. Therefore as many as possible of a team's
+// jobs of one priority are planned to be on time, by Moore's algorithm: jobs
+// are taken by due time, and whenever one would be late, the job with the most
+// work so far is moved to its next due time. Jobs that can meet none come last.
 std::vector<const Job*> OrderJobs(const StateCache& state_cache, WallTime now,
                                   const Deployment& deployment);
 
-// Where the tasks of one job are at this moment, for jobs that must stay in one
+// The zones of one job's tasks at this moment, for jobs that must stay in one
 // zone or be spread over zones.
 struct ZoneUse {
-  std::map<std::string, uint32_t> tasks;
+  std::map<std::string, uint32_t> tasks;  // by zone
   uint32_t total = 0;
 };
 
-// Whether the job's rules allow one more of its tasks on this machine, given
-// where its other tasks are.
+// Whether the job's constraints (spot machines, zone, machine type, one zone,
+// spread) allow one more of its tasks on this machine, given the zones of its
+// other tasks. Does not look at free capacity.
 bool Allowed(const JobSpec& spec, const Machine& machine, const ZoneUse& use);
 
-// The best machine with capacity for one task among `machines`, or null, when
-// `waiting` of them are to be placed. Machines that have the image come first,
-// then those that are to get it anyhow: a fetch is paid once for all tasks that
-// wait for it. Then cheap ones, then one with capacity for as many of them as
-// can be, for the same reason; then the fullest, so that dear and hardly used
-// ones run empty and can be returned. Machines in `avoid` are passed over. If
-// it is `hurried`, the machine where it starts soonest comes first. Tasks of up
-// to `widest` processors wait too: smaller ones rather go where none of them
-// would fit, or capacity for many would stand free in pieces.
+// Returns the best of `machines` with capacity for one task of the job, or null
+// if there is none. Machines in `avoid` are left out. `waiting` is the number
+// of tasks that are still to be placed. Machines are compared by these
+// criteria, in this order:
+//
+// With `hurried`, the machine where the task starts soonest is better.
+//
+// A machine that has the image is better, then one that will have it anyway: a
+// fetch is paid once for all tasks that wait for it.
+//
+// For a service, a machine without another of its replicas is better.
+//
+// A machine where the task takes no slot from a larger one is better. `widest`
+// is the number of processors (in the unit of Resources::cpus) of the largest
+// task that waits: smaller tasks should fill machines where such a task would
+// not fit, because otherwise the capacity for many large ones would lie in
+// fragments. 0 means that no such task is known.
+//
+// A spot machine, being cheaper, is better.
+//
+// If the image must be fetched, a machine with capacity for more of the waiting
+// tasks is better, so that they share the fetch.
+//
+// The fullest machine is better, so that hardly used ones run empty and can be
+// returned.
 Machine* ChooseMachine(const JobSpec& spec, uint32_t waiting,
                        const ZoneUse& use,
                        const std::vector<Machine*>& machines,
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -9,6 +9,7 @@
 namespace pitchfall {
 namespace {
 
+// The team's limit, with a very large amount in place of none.
 Resources LimitOf(const Team& team) {
   auto or_endless = [](int64_t limit) {
     return limit > 0 ? limit : INT64_MAX / 4;
@@ -17,20 +18,23 @@
           INT64_MAX / 4};
 }
 
+// A task that may be preempted.
 struct Candidate {
   const Job* job = nullptr;
   Assignment assignment;
-  int priority = 0;
+  int priority = 0;  // aged
 };
 
-// Whether the job had to wait so long to begin that it went before all others,
-// and none of its tasks has completed since. Such a job makes no capacity: it
-// would be started again at once.
+// Whether the job is exempt from preemption: it is old enough to count as
+// having waited too long to begin, and none of its tasks has completed. If its
+// tasks were stopped, it would come before all other jobs and be started again
+// at once.
 bool HasRecentlyBegunLate(const Job& job, WallTime now) {
   return job.done == 0 && now - job.record.submitted >= kMustBegin;
 }
 
-// The least important and last in order come first.
+// The team's tasks that may be preempted, those of lowest aged priority first
+// and, among these, those of the jobs that come last in the order.
 std::vector<Candidate> Candidates(const std::vector<const Job*>& jobs,
                                   const std::string& team, WallTime now) {
   std::vector<Candidate> candidates;
@@ -54,10 +58,11 @@
   return candidates;
 }
 
-// Who is to start sooner than a victim has saved, and this much, does not wait
-// for it to save.
+// If the tasks of the waiting job's class should start within the victim's
+// saving time and this margin, the victim stops without saving.
 constexpr Duration kSlack = Millis(10000);
 
+// Adds the victims of one team, whose tasks use `used`.
 void ChooseInTeam(const std::string& team, const Deployment& deployment,
                   Resources used, const std::vector<const Job*>& jobs,
                   WallTime now, std::map<Victim, StopKind>& victims) {
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -1,5 +1,5 @@
-// Which running tasks should make capacity for more important work of their
-// team.
+// Selects running tasks that should stop to make capacity for more important
+// work of their team.
 #ifndef PITCHFALL_CORE_SCHEDULING_PREEMPTION_H_
 #define PITCHFALL_CORE_SCHEDULING_PREEMPTION_H_
 
@@ -14,6 +14,7 @@
 
 namespace pitchfall {
 
+// A task attempt that should stop.
 struct Victim {
   std::string job;
   uint32_t task = 0;
@@ -21,20 +22,24 @@
   auto operator<=>(const Victim&) const = default;
 };
 
+// How a victim stops.
 enum class StopKind : uint8_t {
-  kSave,
-  // Saving takes longer than what waits can: the work since the task's last
-  // checkpoint is given up.
+  kSave,  // after it has saved a checkpoint
+  // Without saving, because saving takes longer than the more important job can
+  // wait: the work since the task's last checkpoint is lost.
   kAtOnce,
 };
 
-// Where a team's limit keeps its more important jobs waiting, tasks of its less
-// important ones that can save their progress, as many as are needed. The
-// choice follows from the state cache alone: owners of different partitions,
-// who each stop their own, arrive at the same one.
+// For each team whose limit keeps jobs waiting, selects as many tasks as are
+// needed, among those that can save their progress and whose job's aged
+// priority is lower than the waiting job's own priority. Apart from `now`, the
+// selection depends only on what all controllers share, the state cache and the
+// deployment (`jobs_in_order` follows from these, see OrderJobs), so that
+// owners of different partitions, who each stop their own tasks, arrive at the
+// same one.
 //
-// Tasks that cannot save are left to finish: stopping them would throw away
-// more than the wait costs.
+// Tasks that cannot save are left to finish: stopping them would lose more than
+// the wait costs.
 std::map<Victim, StopKind> ChooseVictims(
     const StateCache& state_cache, const Deployment& deployment,
     const std::vector<const Job*>& jobs_in_order, WallTime now);
--- a/src/core/scheduling/team_quota.cc
+++ b/src/core/scheduling/team_quota.cc
@@ -7,25 +7,28 @@
 namespace pitchfall {
 namespace {
 
-// How long an quota share goes unused before it is given back, and if another
-// partition may be waiting for it.
+// How long a quota share must go unused before it is given back: usually, and
+// while another partition may be waiting for it.
 constexpr Duration kRest = Millis(5000);
 constexpr Duration kShortRest = Millis(250);
-// Of a team's limit, for each partition.
+// While there is plenty, quota shares change by the team's limit divided by
+// this and by the number of partitions.
 constexpr int kSteps = 8;
-// Smaller teams' quota shares follow their use exactly.
+// Where that amount would be smaller, quota shares follow their use exactly.
 constexpr int64_t kMinStep = 4 * Resources::kUnit;
 
+// Rounds up to a multiple of `step`; a `step` of 0 leaves the amount as it is.
 int64_t RoundUp(int64_t amount, int64_t step) {
   return step <= 0 ? amount : (amount + step - 1) / step * step;
 }
 
+// A limit of 0 is none.
 bool Within(const Team& team, const Resources& use) {
   return (team.cpus_limit == 0 || use.cpus <= team.cpus_limit) &&
          (team.gpus_limit == 0 || use.gpus <= team.gpus_limit);
 }
 
-// Whether the quota shares, and `more` beside them, stay within the limit.
+// Whether the sum of all quota shares and `more` stays within the limit.
 bool WithinLimit(const Team& team, const TeamRecord& record,
                  const TeamRecord::QuotaShare& more = {}) {
   Resources sum;
@@ -38,6 +41,7 @@
   return Within(team, sum);
 }
 
+// The team's amount; zero if there is none.
 Resources Find(const std::map<std::string, Resources>& amounts,
                const std::string& team) {
   auto found = amounts.find(team);
@@ -116,8 +120,8 @@
   TeamRecord record = RecordOf(drafted, spec.team);
   QuotaShare& mine = record.shares[partition_];
   if (use.cpus <= mine.cpus && use.gpus <= mine.gpus) return true;
-  // More than is needed now, as long as there is plenty: each change of the
-  // record is a write.
+  // Acquires more than is needed now, as long as there is plenty: each change
+  // of the record is a write.
   const QuotaShare before = mine;
   const QuotaShare step = StepOf(team);
   mine.cpus = std::max(before.cpus, RoundUp(use.cpus, step.cpus));
@@ -155,7 +159,7 @@
       continue;
     }
     SteadyTime since = unused_since_.emplace(name, now).first->second;
-    // At once only if another partition may be waiting for it.
+    // Soon only if another partition may be waiting for it.
     auto waiting = reserved_.lower_bound({name, 0});
     bool needed = Scarce(team->second, record) && waiting != reserved_.end() &&
                   waiting->first.first == name;
