--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -63,29 +63,22 @@
 
 // Returns the best of `machines` with capacity for one task of the job, or null
 // if there is none. Machines in `avoid` are left out. `waiting` is the number
-// of tasks that are still to be placed. Machines are compared by these
-// criteria, in this order:
+// of tasks that are still to be placed. The criteria, in this order:
 //
-// With `hurried`, the machine where the task starts soonest is better.
-//
-// A machine that has the image is better, then one that will have it anyway: a
-// fetch is paid once for all tasks that wait for it.
-//
-// For a service, a machine without another of its replicas is better.
-//
-// A machine where the task takes no slot from a larger one is better. `widest`
-// is the number of processors (in the unit of Resources::cpus) of the largest
-// task that waits: smaller tasks should fill machines where such a task would
-// not fit, because otherwise the capacity for many large ones would lie in
-// fragments. 0 means that no such task is known.
-//
-// A spot machine, being cheaper, is better.
-//
-// If the image must be fetched, a machine with capacity for more of the waiting
-// tasks is better, so that they share the fetch.
-//
-// The fullest machine is better, so that hardly used ones run empty and can be
-// returned.
+// 1. With `hurried`, the machine where the task starts soonest.
+// 2. A machine that has the image, then one that will have it anyway: a fetch
+//    is paid once for all tasks that wait for it.
+// 3. For a service, a machine without another of its replicas.
+// 4. A machine where the task takes no slot from a larger one. `widest` is the
+//    number of processors (in the unit of Resources::cpus) of the largest task
+//    that waits, 0 if none is known. Smaller tasks should fill machines where
+//    such a task would not fit, because otherwise the capacity for many large
+//    ones would lie in fragments.
+// 5. A spot machine, being cheaper.
+// 6. If the image must be fetched, a machine with capacity for more of the
+//    waiting tasks, so that they share the fetch.
+// 7. The fullest machine, so that expensive and hardly used ones run empty and
+//    can be returned.
 Machine* ChooseMachine(const JobSpec& spec, uint32_t waiting,
                        const ZoneUse& use,
                        const std::vector<Machine*>& machines,
