--- a/src/core/scheduling/demand.cc
+++ b/src/core/scheduling/demand.cc
@@ -16,8 +16,8 @@
 
 // Counts the job's tasks in the partition, or in all partitions if `partition`
 // is empty.
-JobShare ShareOf(const Job& job, uint32_t partition_count,
-                 std::optional<uint32_t> partition) {
+JobShare CountTasksOf(const Job& job, uint32_t partition_count,
+                      std::optional<uint32_t> partition) {
   if (!partition) return {job.assigned, job.waiting()};
   JobShare share;
   for (uint32_t n = 0; n < job.record.chunk_count(); ++n) {
@@ -44,11 +44,12 @@
 
 // The fraction for a job that has missed all its due times: its tasks can wait,
 // because nothing more can be missed.
-constexpr double kLatePressure = 0.3;
+constexpr double kLateUrgentFraction = 0.3;
 
 }  // namespace
 
-double Pressure(const Job& job, WallTime now, const Deployment& deployment) {
+double UrgentFraction(const Job& job, WallTime now,
+                      const Deployment& deployment) {
   const JobSpec& spec = job.spec();
   if (spec.shape == Shape::kService) return 1;
   double age = ToSeconds(now - job.record.submitted);
@@ -58,17 +59,17 @@
     double rest = due - age;
     if (rest > 0 && (left < 0 || rest < left)) left = rest;
   };
-  bool bound = spec.deadline.has_value();
-  if (bound) consider(ToSeconds(*spec.deadline));
+  bool has_due_time = spec.deadline.has_value();
+  if (has_due_time) consider(ToSeconds(*spec.deadline));
   for (const Objective& objective : deployment.objectives) {
     if (objective.job_class != spec.job_class) continue;
     if (objective.kind == "finished") consider(ToSeconds(objective.within));
     // Tasks that should start at once cannot run one after another.
     if (objective.kind == "wait") return 1;
-    bound = true;
+    has_due_time = true;
   }
-  if (!bound) return 1;
-  if (left < 0) return kLatePressure;
+  if (!has_due_time) return 1;
+  if (left < 0) return kLateUrgentFraction;
   return std::min(1.0, run / left);
 }
 
@@ -90,7 +91,7 @@
   };
   for (const Job* job : OrderJobs(state_cache, now, deployment)) {
     const JobSpec& spec = job->spec();
-    JobShare share = ShareOf(*job, partition_count, partition);
+    JobShare share = CountTasksOf(*job, partition_count, partition);
     add(spec, share.running, 1);
     if (job->waiting() == 0) continue;
     int64_t admissible = job->waiting();
@@ -114,13 +115,13 @@
       use += spec.resources * admissible;
     }
     // The partition's share of the admissible tasks, rounded up.
-    int64_t mine =
+    int64_t partition_tasks =
         partition
             ? (admissible * share.waiting + job->waiting() - 1) / job->waiting()
             : admissible;
-    if (mine == 0) continue;
-    add(spec, mine, Pressure(*job, now, deployment));
-    demand.waiting += static_cast<uint32_t>(mine);
+    if (partition_tasks == 0) continue;
+    add(spec, partition_tasks, UrgentFraction(*job, now, deployment));
+    demand.waiting += static_cast<uint32_t>(partition_tasks);
     demand.waiting_jobs.push_back(job);
   }
   return demand;
--- a/src/core/scheduling/demand.h
+++ b/src/core/scheduling/demand.h
@@ -16,7 +16,7 @@
 // The demand of all partitions or of one.
 struct Demand {
   // Capacity for the running tasks and for the part of the admissible waiting
-  // tasks that needs it now (see Pressure).
+  // tasks that needs it now (see UrgentFraction).
   Resources requested;
   Resources ordinary_only;  // the part of it that may not run on spot machines
   uint32_t waiting = 0;     // admissible waiting tasks
@@ -29,13 +29,14 @@
 // the job to be done in time: 1 for services, for jobs without a deadline or
 // objective, and for jobs whose tasks should start at once; otherwise less, the
 // more of its tasks can run one after another before the next due time.
-double Pressure(const Job& job, WallTime now, const Deployment& deployment);
+double UrgentFraction(const Job& job, WallTime now,
+                      const Deployment& deployment);
 
 // Measures the capacity that unfinished jobs ask for. Waiting tasks are
 // admissible as far as their team's limit allows beside the team's other tasks,
 // in the order in which jobs get capacity. Of a job in `failing` no waiting
 // task is admissible, or a single one if the job is a service. Each job's
-// admissible tasks ask for capacity in proportion to Pressure.
+// admissible tasks ask for capacity in proportion to UrgentFraction.
 //
 // With `partition`, only that partition's share counts: the running tasks that
 // it has stored, and of the waiting tasks those in chunks that it owns. Without
--- a/src/core/scheduling/displacement.cc
+++ b/src/core/scheduling/displacement.cc
@@ -8,13 +8,13 @@
 
 // How much work of other jobs, in processor seconds, may be lost so that a
 // replica starts without fetching its image.
-constexpr double kMaxLostForImageS = 20;
+constexpr double kMaxLostForImageCpuS = 20;
 
 // A task that may be stopped.
 struct Candidate {
   TaskKey key;
   Priority priority = Priority::kLow;
-  double lost_s = 0;
+  double lost_cpu_s = 0;
   Resources resources;
 };
 
@@ -41,7 +41,7 @@
     candidates.push_back(
         {key, other.priority, LostWork(task, now), other.resources});
   }
-  std::ranges::sort(candidates, {}, &Candidate::lost_s);
+  std::ranges::sort(candidates, {}, &Candidate::lost_cpu_s);
   return candidates;
 }
 
@@ -66,7 +66,7 @@
   if (spec.resources.FitsIn(capacity)) return found;
   for (const Candidate& candidate : Candidates(spec, machine, now)) {
     found.tasks.push_back(candidate.key);
-    found.lost_s += candidate.lost_s;
+    found.lost_cpu_s += candidate.lost_cpu_s;
     capacity += candidate.resources;
     if (spec.resources.FitsIn(capacity)) return found;
   }
@@ -85,7 +85,7 @@
   for (int64_t left = replicas; left > 0; --left) {
     auto best = FindCheapest(spec, use_then, machines, false);
     if (!best) return;
-    Stop(*best, spec);
+    MarkDisplaced(*best, spec);
     use_then.tasks[best->machine->zone] += 1;
     use_then.total += 1;
   }
@@ -95,8 +95,8 @@
     const JobSpec& spec, const ZoneUse& use,
     const std::vector<Machine*>& machines) {
   auto best = FindCheapest(spec, use, machines, true);
-  if (!best || best->lost_s > kMaxLostForImageS) return false;
-  Stop(*best, spec);
+  if (!best || best->lost_cpu_s > kMaxLostForImageCpuS) return false;
+  MarkDisplaced(*best, spec);
   return true;
 }
 
@@ -110,22 +110,24 @@
     auto known =
         expected_capacity_.try_emplace(machine, ExpectedCapacity(*machine));
     auto found = FindDisplacement(spec, *machine, known.first->second, now_);
-    if (found && (!best || found->lost_s < best->lost_s)) {
+    if (found && (!best || found->lost_cpu_s < best->lost_cpu_s)) {
       best = std::move(found);
     }
   }
   return best;
 }
 
-void Displacer::Stop(const Displacement& displacement, const JobSpec& spec) {
+void Displacer::MarkDisplaced(const Displacement& displacement,
+                              const JobSpec& spec) {
   Machine& machine = *displacement.machine;
   Resources& capacity = expected_capacity_[&machine];
   for (const TaskKey& key : displacement.tasks) {
     BoundAttempt& task = machine.bound.at(key);
     task.displaced = true;
     capacity += task.job->spec().resources;
-    out_.Log(LogLevel::kInfo, "event=displace job={} task={} machine={} for={}",
-             key.first, key.second, machine.name, spec.id);
+    outbox_.Log(LogLevel::kInfo,
+                "event=displace job={} task={} machine={} for={}", key.first,
+                key.second, machine.name, spec.id);
   }
   capacity -= spec.resources;
 }
--- a/src/core/scheduling/displacement.h
+++ b/src/core/scheduling/displacement.h
@@ -22,7 +22,7 @@
   // The tasks to stop; empty: the capacity that is free or becomes free once
   // stopping tasks have ended is enough.
   std::vector<TaskKey> tasks;
-  double lost_s = 0;  // processor seconds of work that is lost
+  double lost_cpu_s = 0;  // processor seconds of work that is lost
 };
 
 // Returns the capacity that the machine will have free once the tasks told to
@@ -42,7 +42,7 @@
 // has already promised to other replicas.
 class Displacer {
  public:
-  explicit Displacer(Outbox& out) : out_(out) {}
+  explicit Displacer(Outbox& outbox) : outbox_(outbox) {}
 
   // Forgets what the last plan has promised.
   void BeginPlan(SteadyTime now);
@@ -65,9 +65,9 @@
       const std::vector<Machine*>& machines, bool with_image);
   // Marks the tasks as displaced, so that they are told to stop, and reserves
   // the capacity that becomes free for a task of the job.
-  void Stop(const Displacement& displacement, const JobSpec& spec);
+  void MarkDisplaced(const Displacement& displacement, const JobSpec& spec);
 
-  Outbox& out_;
+  Outbox& outbox_;
   SteadyTime now_{};
   // The capacity that machines will have free, less what is promised to
   // replicas. A machine gets its entry when the plan first considers it.
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -11,43 +11,44 @@
 namespace {
 
 // Due time of jobs that can meet none: after all others.
-constexpr int64_t kNever = std::numeric_limits<int64_t>::max() / 2;
+constexpr int64_t kNoDueTime = std::numeric_limits<int64_t>::max() / 2;
 // Half the time in which a typical image is fetched. A fetch that has to begin
 // now takes two halves; one that is under way is taken to be half done.
-constexpr Duration kHalfFetch = Millis(2000);
+constexpr Duration kHalfFetchTime = Millis(2000);
 // A waiting job gains one level of priority for each of these intervals.
-constexpr Duration kAgeStep = Millis(420000);
+constexpr Duration kAgingInterval = Millis(420000);
 // The fraction of a running task's work that is taken to be left; its actual
 // progress is not known.
-constexpr double kLeftOfRunning = 0.5;
+constexpr double kRemainingOfRunning = 0.5;
 
 // A job in the plan of its team. Times are in seconds from now.
-struct Planned {
+struct PlannedJob {
   const Job* job = nullptr;
   int priority = 0;
-  double work = 0;           // processor seconds
-  std::vector<double> dues;  // that it could still meet, the earliest first
-  size_t due = 0;            // index of the one that the plan aims at
+  double work = 0;  // processor seconds
+  std::vector<double>
+      due_times;   // that it could still meet, the earliest first
+  size_t due = 0;  // index of the one that the plan aims at
 
   // Whether the plan expects it to miss all its due times.
-  bool hopeless() const { return due >= dues.size(); }
+  bool misses_all() const { return due >= due_times.size(); }
 };
 
-Planned PlanJob(const Job& job, WallTime now, const Deployment& deployment) {
+PlannedJob PlanJob(const Job& job, WallTime now, const Deployment& deployment) {
   const JobSpec& spec = job.spec();
-  Planned planned;
+  PlannedJob planned;
   planned.job = &job;
   planned.priority = AgedPriority(job, now);
   double run = ToSeconds(spec.estimate);
   double left = spec.tasks - std::min(spec.tasks, job.done + job.assigned) +
-                kLeftOfRunning * job.assigned;
+                kRemainingOfRunning * job.assigned;
   planned.work =
       left * static_cast<double>(spec.resources.cpus) / Resources::kUnit * run;
   double age = ToSeconds(now - job.record.submitted);
   auto consider = [&](Duration within) {
     double rest = ToSeconds(within) - age;
-    if (rest >= run * (job.waiting() > 0 ? 1 : kLeftOfRunning)) {
-      planned.dues.push_back(rest);
+    if (rest >= run * (job.waiting() > 0 ? 1 : kRemainingOfRunning)) {
+      planned.due_times.push_back(rest);
     }
   };
   if (spec.deadline) consider(*spec.deadline);
@@ -56,33 +57,36 @@
       consider(objective.within);
     }
   }
-  std::sort(planned.dues.begin(), planned.dues.end());
+  std::sort(planned.due_times.begin(), planned.due_times.end());
   return planned;
 }
 
 // Runs one pass of Moore's algorithm over the jobs that still aim at a due
-// time, and returns whether any of them was moved to its next due time. `speed`
-// processors do the work, starting `begin` seconds from now.
-bool StepBack(std::vector<Planned*>& jobs, double begin, double speed) {
-  std::sort(jobs.begin(), jobs.end(), [](const Planned* a, const Planned* b) {
-    if (a->hopeless() || b->hopeless()) return b->hopeless() && !a->hopeless();
-    return a->dues[a->due] < b->dues[b->due];
-  });
-  auto less_work = [](const Planned* a, const Planned* b) {
+// time, and returns whether any of them was moved to its next due time. The
+// work is done by `processors`, starting `begin` seconds from now.
+bool AdvanceLateJobs(std::vector<PlannedJob*>& jobs, double begin,
+                     double processors) {
+  std::sort(jobs.begin(), jobs.end(),
+            [](const PlannedJob* a, const PlannedJob* b) {
+              if (a->misses_all() || b->misses_all())
+                return b->misses_all() && !a->misses_all();
+              return a->due_times[a->due] < b->due_times[b->due];
+            });
+  auto less_work = [](const PlannedJob* a, const PlannedJob* b) {
     return a->work < b->work;
   };
-  std::vector<Planned*> on_time;  // a heap, the most work first
+  std::vector<PlannedJob*> on_time;  // a heap, the most work first
   double end = begin;
   bool any = false;
-  for (Planned* job : jobs) {
-    if (job->hopeless()) break;
+  for (PlannedJob* job : jobs) {
+    if (job->misses_all()) break;
     on_time.push_back(job);
     std::push_heap(on_time.begin(), on_time.end(), less_work);
-    end += job->work / speed;
-    if (end <= job->dues[job->due]) continue;
+    end += job->work / processors;
+    if (end <= job->due_times[job->due]) continue;
     std::pop_heap(on_time.begin(), on_time.end(), less_work);
     on_time.back()->due += 1;
-    end -= on_time.back()->work / speed;
+    end -= on_time.back()->work / processors;
     on_time.pop_back();
     any = true;
   }
@@ -90,22 +94,22 @@
 }
 
 // Selects the due times that a team's jobs aim at, by falling priority.
-void PlanTeam(std::vector<Planned>& jobs, double speed) {
-  std::map<int, std::vector<Planned*>, std::greater<>> by_priority;
-  for (Planned& job : jobs) by_priority[job.priority].push_back(&job);
+void PlanTeam(std::vector<PlannedJob>& jobs, double processors) {
+  std::map<int, std::vector<PlannedJob*>, std::greater<>> by_priority;
+  for (PlannedJob& job : jobs) by_priority[job.priority].push_back(&job);
   double begin = 0;
   for (auto& [priority, group] : by_priority) {
-    while (StepBack(group, begin, speed)) {
+    while (AdvanceLateJobs(group, begin, processors)) {
     }
-    for (const Planned* job : group) begin += job->work / speed;
+    for (const PlannedJob* job : group) begin += job->work / processors;
   }
 }
 
 // Returns the number of processors that services occupy; they are not available
 // for the work of other jobs.
-double BoundByServices(const std::vector<Planned>& jobs) {
+double ProcessorsOfServices(const std::vector<PlannedJob>& jobs) {
   double bound = 0;
-  for (const Planned& planned : jobs) {
+  for (const PlannedJob& planned : jobs) {
     const JobSpec& spec = planned.job->spec();
     if (spec.shape != Shape::kService) continue;
     bound += static_cast<double>(spec.resources.cpus) * planned.job->assigned /
@@ -117,31 +121,32 @@
 // Estimates how many processors work for a team without a limit: those that
 // assigned tasks use or, if that is more, those of the number of machines that
 // the leader last decided on.
-double ClusterSpeed(const StateCache& state_cache) {
-  double speed = 1;
+double ClusterProcessors(const StateCache& state_cache) {
+  double processors = 1;
   for (const auto& [id, job] : state_cache.open_jobs()) {
-    speed += static_cast<double>(job->spec().resources.cpus) * job->assigned /
-             Resources::kUnit;
+    processors += static_cast<double>(job->spec().resources.cpus) *
+                  job->assigned / Resources::kUnit;
   }
   if (state_cache.sizing() && state_cache.types() &&
       !state_cache.types()->value.types.empty()) {
     const MachineType& type = state_cache.types()->value.types.front();
-    speed = std::max(speed, state_cache.sizing()->value.target *
-                                static_cast<double>(type.capacity.cpus) /
-                                Resources::kUnit);
+    processors =
+        std::max(processors, state_cache.sizing()->value.target *
+                                 static_cast<double>(type.capacity.cpus) /
+                                 Resources::kUnit);
   }
-  return speed;
+  return processors;
 }
 
 }  // namespace
 
-bool MustBegin(const Job& job, WallTime now) {
+bool IsStarving(const Job& job, WallTime now) {
   return job.done + job.assigned == 0 && !job.record.final() &&
-         now - job.record.submitted >= kMustBegin;
+         now - job.record.submitted >= kStarvationAge;
 }
 
 int AgedPriority(const Job& job, WallTime now) {
-  auto steps = (now - job.record.submitted) / kAgeStep;
+  auto steps = (now - job.record.submitted) / kAgingInterval;
   int most = static_cast<int>(Priority::kProduction);
   int own = static_cast<int>(job.spec().priority);
   return std::clamp(own + static_cast<int>(std::min<int64_t>(steps, most)), own,
@@ -150,12 +155,12 @@
 
 std::vector<const Job*> OrderJobs(const StateCache& state_cache, WallTime now,
                                   const Deployment& deployment) {
-  std::map<std::string, std::vector<Planned>> teams;
+  std::map<std::string, std::vector<PlannedJob>> teams;
   for (const auto& [id, job] : state_cache.open_jobs()) {
     if (job->record.final()) continue;
     teams[job->spec().team].push_back(PlanJob(*job, now, deployment));
   }
-  double cluster = ClusterSpeed(state_cache);
+  double cluster = ClusterProcessors(state_cache);
   std::vector<std::pair<JobRank, const Job*>> ranked;
   auto by_rank = [](const auto& a, const auto& b) {
     if (a.first != b.first) return a.first < b.first;
@@ -169,23 +174,23 @@
         team == deployment.teams.end() ? 0 : team->second.cpus_limit;
     int64_t guaranteed =
         team == deployment.teams.end() ? 0 : team->second.cpus_guaranteed;
-    double speed =
+    double processors =
         limit > 0 ? static_cast<double>(limit) / Resources::kUnit : cluster;
-    PlanTeam(jobs, std::max(1.0, speed - BoundByServices(jobs)));
+    PlanTeam(jobs, std::max(1.0, processors - ProcessorsOfServices(jobs)));
     size_t first = ranked.size();
-    for (const Planned& planned : jobs) {
+    for (const PlannedJob& planned : jobs) {
       const Job& job = *planned.job;
       int64_t submitted = job.record.submitted.time_since_epoch().count();
-      int64_t due = kNever;
+      int64_t due = kNoDueTime;
       if (job.spec().shape == Shape::kService) {
         // A service is in use all the time: its replicas start before tasks
         // that only have to be done by some moment.
         due = 0;
-      } else if (!planned.hopeless()) {
-        due = (now.time_since_epoch() + Seconds(planned.dues[planned.due]))
+      } else if (!planned.misses_all()) {
+        due = (now.time_since_epoch() + Seconds(planned.due_times[planned.due]))
                   .count();
       }
-      int begin = MustBegin(job, now) ? 0 : 1;
+      int begin = IsStarving(job, now) ? 0 : 1;
       ranked.push_back(
           {JobRank{begin, -planned.priority, due, submitted}, &job});
     }
@@ -221,8 +226,8 @@
 Machine* ChooseMachine(const JobSpec& spec, uint32_t waiting,
                        const ZoneUse& use,
                        const std::vector<Machine*>& machines,
-                       const std::set<std::string>& avoid, bool hurried,
-                       int64_t widest) {
+                       const std::set<std::string>& avoid, bool urgent,
+                       int64_t largest_waiting_cpus) {
   using Score = std::tuple<int64_t, int, int, int, int, int64_t, int64_t>;
   bool service = spec.shape == Shape::kService;
   Machine* best = nullptr;
@@ -233,24 +238,28 @@
     if (!Allowed(spec, *machine, use)) continue;
     // Replicas of one service start on different machines at the same time, so
     // a fetch that is only planned does not bring the image any nearer.
-    bool coming = service ? machine->bound_images.contains(spec.image)
-                          : machine->WillHaveImage(spec.image);
-    int image = machine->images.contains(spec.image) ? 0 : coming ? 1 : 2;
-    bool together = service && machine->HasTaskOf(spec.id);
+    bool will_have_image = service ? machine->bound_images.contains(spec.image)
+                                   : machine->WillHaveImage(spec.image);
+    int image = machine->images.contains(spec.image) ? 0
+                : will_have_image                    ? 1
+                                                     : 2;
+    bool has_replica = service && machine->HasTaskOf(spec.id);
     int64_t tasks = image < 2 ? 0 : spec.resources.CountIn(free, waiting);
     // Estimated seconds until the task starts; 0 if that does not matter.
     int64_t delay =
-        hurried ? (machine->until_heartbeat + image * kHalfFetch) / Millis(1000)
-                : 0;
+        urgent
+            ? (machine->until_heartbeat + image * kHalfFetchTime) / Millis(1000)
+            : 0;
     // Whether the machine would fit fewer of the largest waiting tasks after
     // this start.
-    bool breaks =
-        widest > spec.resources.cpus &&
-        (free.cpus - spec.resources.cpus) / widest < free.cpus / widest;
+    bool splits_slot =
+        largest_waiting_cpus > spec.resources.cpus &&
+        (free.cpus - spec.resources.cpus) / largest_waiting_cpus <
+            free.cpus / largest_waiting_cpus;
     Score score{delay,
                 image,
-                together ? 1 : 0,
-                breaks ? 1 : 0,
+                has_replica ? 1 : 0,
+                splits_slot ? 1 : 0,
                 machine->spot ? 0 : 1,
                 -tasks,
                 free.cpus};
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -26,10 +26,10 @@
 // A job that has waited this long without any of its tasks having started comes
 // before all others until one has: otherwise large jobs and jobs of low
 // priority could wait for ever behind a stream of small and urgent ones.
-inline constexpr Duration kMustBegin = Millis(150000);
+inline constexpr Duration kStarvationAge = Millis(150000);
 // Whether the job has waited that long and none of its tasks is assigned or
 // done.
-bool MustBegin(const Job& job, WallTime now);
+bool IsStarving(const Job& job, WallTime now);
 
 // Returns the job's priority for the order of jobs, which rises as the job
 // ages. Ageing never entitles a job to stop tasks of others, which depends on
@@ -65,15 +65,15 @@
 // if there is none. Machines in `avoid` are left out. `waiting` is the number
 // of tasks that are still to be placed. The criteria, in this order:
 //
-// 1. With `hurried`, the machine where the task starts soonest.
+// 1. With `urgent`, the machine where the task starts soonest.
 // 2. A machine that has the image, then one that will have it anyway: a fetch
 //    is paid once for all tasks that wait for it.
 // 3. For a service, a machine without another of its replicas.
-// 4. A machine where the task takes no slot from a larger one. `widest` is the
-//    number of processors (in the unit of Resources::cpus) of the largest task
-//    that waits, 0 if none is known. Smaller tasks should fill machines where
-//    such a task would not fit, because otherwise the capacity for many large
-//    ones would lie in fragments.
+// 4. A machine where the task takes no slot from a larger one.
+//    `largest_waiting_cpus` is the number of processors (in the unit of
+//    Resources::cpus) of the largest task that waits, 0 if none is known.
+//    Smaller tasks should fill machines where such a task would not fit,
+//    because otherwise the capacity for many large ones would lie in fragments.
 // 5. A spot machine, being cheaper.
 // 6. If the image must be fetched, a machine with capacity for more of the
 //    waiting tasks, so that they share the fetch.
@@ -82,8 +82,8 @@
 Machine* ChooseMachine(const JobSpec& spec, uint32_t waiting,
                        const ZoneUse& use,
                        const std::vector<Machine*>& machines,
-                       const std::set<std::string>& avoid, bool hurried = false,
-                       int64_t widest = 0);
+                       const std::set<std::string>& avoid, bool urgent = false,
+                       int64_t largest_waiting_cpus = 0);
 
 }  // namespace pitchfall
 
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -29,8 +29,8 @@
 // having waited too long to begin, and none of its tasks has completed. If its
 // tasks were stopped, it would come before all other jobs and be started again
 // at once.
-bool HasRecentlyBegunLate(const Job& job, WallTime now) {
-  return job.done == 0 && now - job.record.submitted >= kMustBegin;
+bool IsExemptFromPreemption(const Job& job, WallTime now) {
+  return job.done == 0 && now - job.record.submitted >= kStarvationAge;
 }
 
 // The team's tasks that may be preempted, those of lowest aged priority first
@@ -40,7 +40,7 @@
   std::vector<Candidate> candidates;
   for (const Job* job : boost::adaptors::reverse(jobs)) {
     if (job->spec().team != team || job->spec().checkpoint.count() == 0 ||
-        HasRecentlyBegunLate(*job, now)) {
+        IsExemptFromPreemption(*job, now)) {
       continue;
     }
     int priority = AgedPriority(*job, now);
@@ -60,7 +60,7 @@
 
 // If the tasks of the waiting job's class should start within the victim's
 // saving time and this margin, the victim stops without saving.
-constexpr Duration kSlack = Millis(10000);
+constexpr Duration kSavingMargin = Millis(10000);
 
 // Adds the victims of one team, whose tasks use `used`.
 void ChooseInTeam(const std::string& team, const Deployment& deployment,
@@ -81,7 +81,7 @@
         victims[{chosen.job->spec().id, chosen.assignment.task,
                  chosen.assignment.attempt}] =
             deployment.StartsWithin(spec.job_class,
-                                    chosen.job->spec().save + kSlack)
+                                    chosen.job->spec().save + kSavingMargin)
                 ? StopKind::kAtOnce
                 : StopKind::kSave;
       }
--- a/src/core/scheduling/team_quota.cc
+++ b/src/core/scheduling/team_quota.cc
@@ -9,17 +9,18 @@
 
 // How long a quota share must go unused before it is given back: usually, and
 // while another partition may be waiting for it.
-constexpr Duration kRest = Millis(5000);
-constexpr Duration kShortRest = Millis(250);
+constexpr Duration kUnusedShareDelay = Millis(5000);
+constexpr Duration kContendedShareDelay = Millis(250);
 // While there is plenty, quota shares change by the team's limit divided by
 // this and by the number of partitions.
-constexpr int kSteps = 8;
+constexpr int kIncrementsPerPartition = 8;
 // Where that amount would be smaller, quota shares follow their use exactly.
-constexpr int64_t kMinStep = 4 * Resources::kUnit;
+constexpr int64_t kMinIncrement = 4 * Resources::kUnit;
 
-// Rounds up to a multiple of `step`; a `step` of 0 leaves the amount as it is.
-int64_t RoundUp(int64_t amount, int64_t step) {
-  return step <= 0 ? amount : (amount + step - 1) / step * step;
+// Rounds up to a multiple of `increment`; 0 leaves the amount as it is.
+int64_t RoundUp(int64_t amount, int64_t increment) {
+  return increment <= 0 ? amount
+                        : (amount + increment - 1) / increment * increment;
 }
 
 // A limit of 0 is none.
@@ -51,19 +52,19 @@
 }  // namespace
 
 void TeamQuota::CountEverywhere() {
-  everywhere_.clear();
+  cluster_use_.clear();
   for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     const JobSpec& spec = job->spec();
-    everywhere_[spec.team] +=
+    cluster_use_[spec.team] +=
         spec.resources * static_cast<int64_t>(job->assigned);
   }
 }
 
 Resources TeamQuota::UseEverywhere(const std::string& team) const {
-  return Find(everywhere_, team) + Find(planned_, team);
+  return Find(cluster_use_, team) + Find(planned_, team);
 }
 
-Resources TeamQuota::UseHere(const std::string& team) const {
+Resources TeamQuota::PartitionUse(const std::string& team) const {
   return Find(bound_, team) + Find(planned_, team);
 }
 
@@ -83,18 +84,19 @@
   return record;
 }
 
-TeamRecord::QuotaShare TeamQuota::StepOf(const Team& team) const {
-  auto step = [this](int64_t limit) {
-    int64_t amount = limit / (int64_t{kSteps} * context_.partition_count);
-    return amount < kMinStep ? 0 : amount;
+TeamRecord::QuotaShare TeamQuota::QuotaIncrement(const Team& team) const {
+  auto increment = [this](int64_t limit) {
+    int64_t amount =
+        limit / (int64_t{kIncrementsPerPartition} * context_.partition_count);
+    return amount < kMinIncrement ? 0 : amount;
   };
-  return {step(team.cpus_limit), step(team.gpus_limit)};
+  return {increment(team.cpus_limit), increment(team.gpus_limit)};
 }
 
-bool TeamQuota::Scarce(const Team& team, const TeamRecord& record) const {
-  const QuotaShare step = StepOf(team);
-  bool exact = step.cpus == 0 && step.gpus == 0;
-  return exact || !WithinLimit(team, record, step);
+bool TeamQuota::IsScarce(const Team& team, const TeamRecord& record) const {
+  const QuotaShare increment = QuotaIncrement(team);
+  bool exact = increment.cpus == 0 && increment.gpus == 0;
+  return exact || !WithinLimit(team, record, increment);
 }
 
 bool TeamQuota::LeavesReserved(const Job& job, const Team& team) const {
@@ -114,18 +116,18 @@
   if (found == context_.deployment.teams.end()) return false;
   const Team& team = found->second;
   if (team.cpus_limit == 0 && team.gpus_limit == 0) return true;
-  bool must_begin = MustBegin(job, context_.out.now().wall);
-  if (!must_begin && !LeavesReserved(job, team)) return false;
-  const Resources use = UseHere(spec.team) + spec.resources;
+  bool starving = IsStarving(job, context_.out.now().wall);
+  if (!starving && !LeavesReserved(job, team)) return false;
+  const Resources use = PartitionUse(spec.team) + spec.resources;
   TeamRecord record = RecordOf(drafted, spec.team);
   QuotaShare& mine = record.shares[partition_];
   if (use.cpus <= mine.cpus && use.gpus <= mine.gpus) return true;
   // Acquires more than is needed now, as long as there is plenty: each change
   // of the record is a write.
   const QuotaShare before = mine;
-  const QuotaShare step = StepOf(team);
-  mine.cpus = std::max(before.cpus, RoundUp(use.cpus, step.cpus));
-  mine.gpus = std::max(before.gpus, RoundUp(use.gpus, step.gpus));
+  const QuotaShare increment = QuotaIncrement(team);
+  mine.cpus = std::max(before.cpus, RoundUp(use.cpus, increment.cpus));
+  mine.gpus = std::max(before.gpus, RoundUp(use.gpus, increment.gpus));
   if (!WithinLimit(team, record)) {
     mine.cpus = std::max(before.cpus, use.cpus);
     mine.gpus = std::max(before.gpus, use.gpus);
@@ -136,13 +138,13 @@
   return true;
 }
 
-TeamRecord::QuotaShare TeamQuota::Kept(const Team& team,
-                                       const TeamRecord& record,
-                                       const Resources& use) const {
-  if (Scarce(team, record)) return {use.cpus, use.gpus};
-  const QuotaShare step = StepOf(team);
-  return {RoundUp(use.cpus, step.cpus) + step.cpus,
-          RoundUp(use.gpus, step.gpus) + step.gpus};
+TeamRecord::QuotaShare TeamQuota::ShareToKeep(const Team& team,
+                                              const TeamRecord& record,
+                                              const Resources& use) const {
+  if (IsScarce(team, record)) return {use.cpus, use.gpus};
+  const QuotaShare increment = QuotaIncrement(team);
+  return {RoundUp(use.cpus, increment.cpus) + increment.cpus,
+          RoundUp(use.gpus, increment.gpus) + increment.gpus};
 }
 
 void TeamQuota::ReleaseUnused(DraftedTeams& drafted, size_t max_added) {
@@ -152,7 +154,8 @@
     if (team == context_.deployment.teams.end()) continue;
     if (stored.value.shares.size() <= partition_) continue;
     TeamRecord record = RecordOf(drafted, name);
-    const QuotaShare kept = Kept(team->second, record, UseHere(name));
+    const QuotaShare kept =
+        ShareToKeep(team->second, record, PartitionUse(name));
     QuotaShare& mine = record.shares[partition_];
     if (mine.cpus <= kept.cpus && mine.gpus <= kept.gpus) {
       unused_since_.erase(name);
@@ -161,9 +164,10 @@
     SteadyTime since = unused_since_.emplace(name, now).first->second;
     // Soon only if another partition may be waiting for it.
     auto waiting = reserved_.lower_bound({name, 0});
-    bool needed = Scarce(team->second, record) && waiting != reserved_.end() &&
-                  waiting->first.first == name;
-    if (now - since < (needed ? kShortRest : kRest)) continue;
+    bool needed = IsScarce(team->second, record) &&
+                  waiting != reserved_.end() && waiting->first.first == name;
+    if (now - since < (needed ? kContendedShareDelay : kUnusedShareDelay))
+      continue;
     if (!drafted.contains(name)) {
       if (max_added == 0) return;
       --max_added;
--- a/src/core/scheduling/team_quota.h
+++ b/src/core/scheduling/team_quota.h
@@ -61,7 +61,7 @@
   // Returns whether one more task of the job may start, and raises the
   // partition's quota share in `drafted` if that is needed. False if the limit
   // is used up, if the capacity is reserved for jobs of higher priority (unless
-  // the job has waited too long to begin, see MustBegin), or if the team is
+  // the job has waited too long to begin, see IsStarving), or if the team is
   // unknown. `may_add` tells whether one more record fits into the transaction.
   bool Acquire(const Job& job, DraftedTeams& drafted, bool may_add);
   // Lowers quota shares that have not been used for a while, adding at most
@@ -77,20 +77,20 @@
                       const std::string& team) const;
   // The amount by which quota shares change while there is plenty; 0 for a
   // resource of which the limit is too small for that, or is none.
-  QuotaShare StepOf(const Team& team) const;
+  QuotaShare QuotaIncrement(const Team& team) const;
   // Whether the team's limit still holds, after one more task of the job, what
   // is reserved for the team's jobs of higher priority.
   bool LeavesReserved(const Job& job, const Team& team) const;
   // How much of its quota share the partition should keep when its tasks use
   // `use`.
-  QuotaShare Kept(const Team& team, const TeamRecord& record,
-                  const Resources& use) const;
+  QuotaShare ShareToKeep(const Team& team, const TeamRecord& record,
+                         const Resources& use) const;
   // Whether quota shares must follow their use exactly, because the limit is
   // small or nearly all of it is given out.
-  bool Scarce(const Team& team, const TeamRecord& record) const;
+  bool IsScarce(const Team& team, const TeamRecord& record) const;
   // What the team's tasks in this partition use, with the changes of the
   // transaction being built.
-  Resources UseHere(const std::string& team) const;
+  Resources PartitionUse(const std::string& team) const;
 
   const Context& context_;
   const uint32_t partition_;
@@ -98,7 +98,7 @@
   // the transaction being built, and what all partitions use.
   std::map<std::string, Resources> bound_;
   std::map<std::string, Resources> planned_;
-  std::map<std::string, Resources> everywhere_;
+  std::map<std::string, Resources> cluster_use_;
   std::map<TeamPriority, Resources> reserved_;
   // Since when the partition has held more than it should keep, by team.
   std::map<std::string, SteadyTime> unused_since_;
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -767,14 +767,14 @@
       0u);
 }
 
-TEST(Demand, PressureGrowsAsTimeRunsOut) {
+TEST(Demand, UrgentFractionGrowsAsTimeRunsOut) {
   Deployment d;
   Objective objective{"finished", "x", Seconds(100), 0.9};
   d.objectives.push_back(objective);
   Job job;
   job.record.spec = Spec("run-1", 4, 1);  // runs for 10 s
   auto at = [&](double age) {
-    return Pressure(job, WallTime(Seconds(age)), d);
+    return UrgentFraction(job, WallTime(Seconds(age)), d);
   };
   EXPECT_NEAR(at(0), 0.1, 1e-9);
   EXPECT_NEAR(at(50), 0.2, 1e-9);
--- a/tests/standing_jobs_test.cc
+++ b/tests/standing_jobs_test.cc
@@ -145,7 +145,7 @@
   auto order = OrderJobs(state_cache, now, d);
   ASSERT_EQ(order.size(), 2u);
   EXPECT_EQ(order[0]->spec().id, "run-1");
-  EXPECT_EQ(Pressure(*state_cache.FindJob("run-1"), now, d), 1);
+  EXPECT_EQ(UrgentFraction(*state_cache.FindJob("run-1"), now, d), 1);
   Demand demand =
       MeasureDemand(state_cache, d, {"run-0"}, now, 1, std::nullopt);
   EXPECT_EQ(demand.requested.cpus, Resources::FromDecimal(8));
@@ -200,7 +200,7 @@
   ASSERT_TRUE(found);
   ASSERT_EQ(found->tasks.size(), 1u);
   EXPECT_EQ(found->tasks[0], TaskKey("run-5", 1));
-  EXPECT_EQ(found->lost_s, 10);
+  EXPECT_EQ(found->lost_cpu_s, 10);
   found =
       FindDisplacement(Service(1, 4), machine, ExpectedCapacity(machine), now);
   ASSERT_TRUE(found);
