--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -26,9 +26,10 @@
   const Job* job = nullptr;
   int priority = 0;
   double work = 0;  // processor seconds
-  std::vector<double>
-      due_times;   // that it could still meet, the earliest first
-  size_t due = 0;  // index of the one that the plan aims at
+  // The due times that it could still meet, the earliest first, and the index
+  // of the one that the plan aims at.
+  std::vector<double> due_times;
+  size_t due = 0;
 
   // Whether the plan expects it to miss all its due times.
   bool misses_all() const { return due >= due_times.size(); }
