--- a/src/core/membership/misrouted_workers.cc
+++ b/src/core/membership/misrouted_workers.cc
@@ -34,9 +34,8 @@
     // is handed over to.
     context_.out.Answer(request, http_status::kMisdirectedRequest, Redirect{});
   } else if (owner.empty()) {
-    context_.out.Answer(
-        request, http_status::kServiceUnavailable,
-        Problem{"no live owner of the partition is known; try again later"});
+    context_.out.Answer(request, http_status::kServiceUnavailable,
+                        Problem{"no owner known"});
   } else {
     context_.out.Answer(request, http_status::kMisdirectedRequest,
                         Redirect{owner});
