--- a/src/core/scheduling/demand.cc
+++ b/src/core/scheduling/demand.cc
@@ -8,14 +8,16 @@
 namespace pitchfall {
 namespace {
 
+// Tasks of one job, of all partitions or of one.
 struct JobShare {
   uint32_t running = 0;
   uint32_t waiting = 0;
 };
 
-// Tasks of the job that count for `partition`.
-JobShare ShareOf(const Job& job, uint32_t partition_count,
-                 std::optional<uint32_t> partition) {
+// Counts the job's tasks in the partition, or in all partitions if `partition`
+// is empty.
+JobShare CountTasksOf(const Job& job, uint32_t partition_count,
+                      std::optional<uint32_t> partition) {
   if (!partition) return {job.assigned, job.waiting()};
   JobShare share;
   for (uint32_t n = 0; n < job.record.chunk_count(); ++n) {
@@ -40,12 +42,14 @@
   return {scale(r.cpus), scale(r.gpus), scale(r.memory)};
 }
 
-// A job that is late already presses little: nothing more can be missed.
-constexpr double kLatePressure = 0.3;
+// The fraction for a job that has missed all its due times: its tasks can wait,
+// because nothing more can be missed.
+constexpr double kLateUrgentFraction = 0.3;
 
 }  // namespace
 
-double Pressure(const Job& job, WallTime now, const Deployment& deployment) {
+double UrgentFraction(const Job& job, WallTime now,
+                      const Deployment& deployment) {
   const JobSpec& spec = job.spec();
   if (spec.shape == Shape::kService) return 1;
   double age = ToSeconds(now - job.record.submitted);
@@ -55,17 +59,17 @@
     double rest = due - age;
     if (rest > 0 && (left < 0 || rest < left)) left = rest;
   };
-  bool bound = spec.deadline.has_value();
-  if (bound) consider(ToSeconds(*spec.deadline));
+  bool has_due_time = spec.deadline.has_value();
+  if (has_due_time) consider(ToSeconds(*spec.deadline));
   for (const Objective& objective : deployment.objectives) {
     if (objective.job_class != spec.job_class) continue;
     if (objective.kind == "finished") consider(ToSeconds(objective.within));
-    // Tasks that should start at once cannot wait for one another.
+    // Tasks that should start at once cannot run one after another.
     if (objective.kind == "wait") return 1;
-    bound = true;
+    has_due_time = true;
   }
-  if (!bound) return 1;
-  if (left < 0) return kLatePressure;
+  if (!has_due_time) return 1;
+  if (left < 0) return kLateUrgentFraction;
   return std::min(1.0, run / left);
 }
 
@@ -87,12 +91,13 @@
   };
   for (const Job* job : OrderJobs(state_cache, now, deployment)) {
     const JobSpec& spec = job->spec();
-    JobShare share = ShareOf(*job, partition_count, partition);
+    JobShare share = CountTasksOf(*job, partition_count, partition);
     add(spec, share.running, 1);
     if (job->waiting() == 0) continue;
     int64_t admissible = job->waiting();
     if (failing.contains(spec.id)) {
-      // A service is tried again for ever, and needs a place for that.
+      // A failing service is retried for ever and needs capacity for one
+      // replica.
       if (spec.shape != Shape::kService) continue;
       admissible = 1;
     }
@@ -109,14 +114,14 @@
       limit(team->second.gpus_limit, use.gpus, spec.resources.gpus);
       use += spec.resources * admissible;
     }
-    // A partition's share of what is admissible, rounded up.
-    int64_t mine =
+    // The partition's share of the admissible tasks, rounded up.
+    int64_t partition_tasks =
         partition
             ? (admissible * share.waiting + job->waiting() - 1) / job->waiting()
             : admissible;
-    if (mine == 0) continue;
-    add(spec, mine, Pressure(*job, now, deployment));
-    demand.waiting += static_cast<uint32_t>(mine);
+    if (partition_tasks == 0) continue;
+    add(spec, partition_tasks, UrgentFraction(*job, now, deployment));
+    demand.waiting += static_cast<uint32_t>(partition_tasks);
     demand.waiting_jobs.push_back(job);
   }
   return demand;
