--- a/src/core/autoscaler/autoscaler.cc
+++ b/src/core/autoscaler/autoscaler.cc
@@ -9,10 +9,11 @@
 namespace {
 
 constexpr Duration kAdjustInterval = Millis(1000);
-// Q: what a machine too many or too few costs against the tuned R of a move.
+// Q: the weight of the tracking error (in machines), relative to the weight R
+// of a move, which Tuning::tracking_r sets.
 constexpr double kTrackingErrorWeight = 1.0;
-// Machines. A move that differs from a whole number by less is a rounding
-// error, and must not request one more.
+// In machines. A move that exceeds a whole number by less than this does so by
+// a rounding error and must not request one more machine.
 constexpr double kMoveTolerance = 1e-6;
 
 }  // namespace
@@ -59,7 +60,7 @@
   const double move = PlanMove(demand, use);
   if (state_writer_.writing()) return;
 
-  // Jobs that must not run on spot instances need enough of the others.
+  // Jobs that must not run on spot instances need enough on-demand instances.
   const int ordinary = CountOrdinary();
   const double needed = machine_types_.MachinesFor(demand.ordinary_only);
   if (needed > ordinary) {
@@ -74,7 +75,8 @@
                      demand);
     return;
   }
-  // Every job needs at least one machine that it may run on.
+  // Each waiting job needs at least one machine that it may run on, even if the
+  // total number of machines is sufficient.
   if (const Job* job = scale_out_.FindUnservedJob(demand, use)) {
     if (scale_out_.RequestFor(*job, decision_)) {
       decision_.reason = ScalingReason::kUnserved;
@@ -84,7 +86,7 @@
   ScaleInBy(move, ordinary - static_cast<int>(std::ceil(needed)), use);
 }
 
-// What all partitions' jobs ask for.
+// Returns the demand of the jobs of all partitions.
 Demand Autoscaler::MeasureTotalDemand() const {
   return MeasureDemand(
       context_.state_cache, context_.deployment,
@@ -92,7 +94,8 @@
       context_.out.now().wall, context_.partition_count, std::nullopt);
 }
 
-// Sets the target, and returns by how many machines to approach it now.
+// Updates the target and returns by how many machines to move towards it now;
+// negative if there are too many. Pending instances count as machines.
 double Autoscaler::PlanMove(const Demand& demand, const MachineUseTable& use) {
   const int count = decision_.count + CountPending();
   const SizingTargets targets = sizing_history_.TargetsFor(demand);
@@ -129,7 +132,7 @@
   }
 }
 
-// Instances that are requested, by requests without an answer.
+// Returns the number of instances in requests that the cloud has not answered.
 int Autoscaler::CountPending() const {
   int count = 0;
   for (const PendingInstances& pending : requests_.Pending()) {
@@ -138,7 +141,8 @@
   return count;
 }
 
-// Machines other than spot instances that are not draining, and pending ones.
+// Returns the number of on-demand instances that are not draining, including
+// pending ones and ones that turned out broken.
 int Autoscaler::CountOrdinary() const {
   int count = 0;
   for (const PendingInstances& pending : requests_.Pending()) {
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -1,5 +1,6 @@
-// The leader's work: how many machines there should be, requesting instances,
-// choosing which machines to give up. The owner of partition 0 leads.
+// The autoscaler: decides how many machines the cluster needs, requests
+// instances from the cloud and selects machines for removal. It runs on the
+// leader, which is the controller that owns partition 0.
 #ifndef PITCHFALL_CORE_AUTOSCALER_AUTOSCALER_H_
 #define PITCHFALL_CORE_AUTOSCALER_AUTOSCALER_H_
 
@@ -19,20 +20,22 @@
 
 namespace pitchfall {
 
-// Puts the parts of the autoscaler together and says in which order they act.
-// It exists while its controller owns partition 0.
+// Owns the components of the autoscaler and runs them in order. An instance
+// exists only while its controller owns partition 0.
 class Autoscaler {
  public:
-  // `fencing_token` is that of partition 0.
+  // `fencing_token` is the current fencing token of partition 0.
   Autoscaler(Context& context, uint64_t fencing_token);
 
-  // Does whatever is due. Nothing while the state cache is out of date: what
-  // others have stored meanwhile could be undone or done twice.
+  // Does the work that is due: fetches the machine types, lists the instances,
+  // reconciles stored requests and adjusts the number of machines. Does nothing
+  // while the state cache is stale, because a decision from stale data could
+  // undo or repeat a change that is already stored.
   void Step();
 
  private:
-  // Compares the number of machines with the target and takes at most one step
-  // that changes it.
+  // Compares the number of machines with the target and makes at most one
+  // change towards it.
   void AdjustSize();
   Demand MeasureTotalDemand() const;
   double PlanMove(const Demand& demand, const MachineUseTable& use);
