--- a/src/core/autoscaler/instance_inventory.cc
+++ b/src/core/autoscaler/instance_inventory.cc
@@ -11,14 +11,14 @@
 
 constexpr Duration kListInterval = Millis(5000);
 constexpr Duration kListRetryDelay = Millis(2000);
-// An instance counts as gone when the list has lacked it for twice the time by
-// which the list may lag behind, and this.
+// An instance that is missing from the list is removed from the inventory after
+// twice the list's maximum lag plus this margin.
 constexpr Duration kMissingMargin = Millis(5000);
-// An instance is overdue after its type's boot time this many times, and the
-// margin, so that a slow boot is not taken for a failed one.
+// The boot of an instance is overdue after this many times the boot time of its
+// type, plus the margin, so that a slow boot is not mistaken for a failed one.
 constexpr int kOverdueBootTimes = 3;
 constexpr Duration kOverdueMargin = Millis(10000);
-// Names in one call that deletes instances.
+// The largest number of instances that one call deletes.
 constexpr size_t kMaxDeletedPerCall = 100;
 
 }  // namespace
@@ -79,8 +79,8 @@
   auto [entry, is_new] = instances_.try_emplace(listed.name);
   Instance& instance = entry->second;
   instance.offer = {listed.type, listed.zone, listed.spot};
-  // A list may be older than the one before: an instance that ran does not
-  // boot again.
+  // A list may show an older state than the one before it. An instance that was
+  // running does not return to booting, so only a failure replaces that status.
   if (is_new || instance.status == MachineStatus::kBooting ||
       listed.status == MachineStatus::kFailed) {
     instance.status = listed.status;
@@ -94,8 +94,8 @@
   const Duration lag = 2 * deployment_.list_lag + kMissingMargin;
   std::erase_if(instances_, [&](const auto& entry) {
     const auto& [name, instance] = entry;
-    // An instance may be too new for the list, or the list old: only a long
-    // absence counts.
+    // The list may be too old to include a new instance, so an instance is
+    // removed only after it has been missing for long.
     const SteadyTime last_listed = instance.listed.value_or(SteadyTime{});
     return !listed.contains(name) && now - instance.created > lag &&
            now - last_listed > lag;
@@ -124,7 +124,8 @@
                                  const Instance& instance) const {
   if (state_cache_.Draining(name)) return false;
   if (instance.status == MachineStatus::kFailed) return true;
-  // The list may lag behind: an instance that has run tasks has booted.
+  // The list lags behind and may show a machine as booting that already runs
+  // tasks; such a machine has booted.
   if (instance.status != MachineStatus::kBooting || instance.has_run_tasks) {
     return false;
   }
--- a/src/core/autoscaler/instance_inventory.h
+++ b/src/core/autoscaler/instance_inventory.h
@@ -1,4 +1,4 @@
-// Which instances there are.
+// The inventory of the instances that exist in the cloud.
 #ifndef PITCHFALL_CORE_AUTOSCALER_INSTANCE_INVENTORY_H_
 #define PITCHFALL_CORE_AUTOSCALER_INSTANCE_INVENTORY_H_
 
@@ -19,59 +19,66 @@
 
 namespace pitchfall {
 
-// One instance that the cloud lists, or has created and does not list yet.
+// One instance that the cloud lists, or that it has created but does not list
+// yet.
 struct Instance {
   Offer offer;
   MachineStatus status = MachineStatus::kBooting;
   SteadyTime created{};
-  std::optional<SteadyTime> listed;  // last seen in the cloud's list
+  // When the instance last appeared in the cloud's list; empty if it never has.
+  std::optional<SteadyTime> listed;
   bool has_run_tasks = false;
-  std::optional<SteadyTime> idle_since;  // none: has tasks, or not known
+  // Since when the instance has had no tasks; empty if it has tasks or its use
+  // has not been recorded yet.
+  std::optional<SteadyTime> idle_since;
 };
 
-// By name of the machine.
+// Instances by machine name.
 using InstanceTable = std::map<std::string, Instance>;
 
-// Follows the cloud's list, adds what it does not show yet, and deletes
-// instances that are broken.
+// Keeps an inventory of instances from the cloud's list, which may lag behind,
+// and from the cloud's answers to requests. Deletes broken instances.
 class InstanceInventory {
  public:
-  // `cloud` is the process's share of the cloud's rate of calls.
+  // `cloud` limits the rate of this process's calls to the cloud.
   InstanceInventory(Outbox& out, const Deployment& deployment,
                     const Tuning& tuning, const StateCache& state_cache,
                     const MachineTypeCatalog& machine_types,
                     TokenBucket& cloud);
 
-  // Starts to read the cloud's list, page by page, if that is due and the rate
-  // allows a call. After a failure the whole list is read again later.
+  // Starts to read the cloud's list page by page, if a listing is due and the
+  // rate limit allows a call. Only the first page takes a token from the rate
+  // limit. If a page fails, the whole list is read again later.
   void ListIfDue();
 
-  // Whether the whole list has been read once. Before that nothing is known of
-  // instances that a predecessor requested.
+  // Whether the whole list has been read at least once. Until then, instances
+  // that an earlier leader requested may be missing from the inventory.
   bool listed_once() const { return listed_once_; }
   const InstanceTable& instances() const { return instances_; }
-  // Null if there is no such instance.
+  // Returns the named instance, or null if the inventory does not have it.
   const Instance* Find(const std::string& name) const;
 
   // Adds an instance that the cloud has created in answer to a request, or
-  // gives the time of its creation more precisely. Once an instance has been
-  // listed, the age that the list gave stands.
+  // updates its creation time if the instance is present but has not been
+  // listed. Once it has been listed, its creation time no longer changes.
   void AddCreated(const std::string& name, const Offer& offer,
                   SteadyTime created);
 
-  // Notes which instances have tasks, and since when the others have none.
+  // Updates which instances have tasks, and since when the others have been
+  // idle.
   void RecordUse(const MachineUseTable& use);
 
-  // Instances that are neither draining nor broken.
+  // Returns the number of instances that are neither draining nor broken.
   int CountUsable() const;
-  // Deletes instances that have failed or are overdue, as many as one call may
-  // name, if the rate allows a call. They stay in the table until the cloud
-  // has confirmed it; the next call tries again.
+  // Deletes instances that have failed or whose boot is overdue, as many as one
+  // cloud call may name, if the rate limit allows a call. Instances stay in the
+  // inventory until the cloud confirms the deletion; until then each call of
+  // this function requests it again.
   void DeleteBroken();
 
  private:
   using NameSet = std::set<std::string>;
-  // A list under way.
+  // A listing in progress: the names read so far, and when it started.
   struct Listing {
     NameSet names;
     SteadyTime started{};
--- a/src/core/autoscaler/instance_requests.cc
+++ b/src/core/autoscaler/instance_requests.cc
@@ -10,20 +10,23 @@
 namespace pitchfall {
 namespace {
 
-// How long an offer is left alone after the cloud had too few instances of it.
+// For this long after the cloud rejected a request for an offer, or created too
+// few instances of it, the offer is not requested again.
 constexpr Duration kRefusedInterval = Millis(12000);
 constexpr Duration kSendInterval = Millis(1500);
-// The cloud's list shows an instance after the time by which it may lag behind;
-// twice that and this after the request, an instance that is not listed is
-// taken for gone.
+// The cloud's list shows a new instance after its maximum lag. An instance that
+// is still not listed after twice that lag plus this margin, counted from the
+// request, is considered gone.
 constexpr Duration kUnlistedMargin = Millis(10000);
 constexpr uint32_t kMaxInstancesPerRequest = 50;
-// Of the stored record as JSON: without instances, and the name of one (as long
-// as any cloud is likely to give).
+// Upper estimates of the size of the stored record as JSON: without the names
+// of instances, and for each name. Names given by clouds are unlikely to be
+// longer.
 constexpr size_t kRecordBytes = 300;
 constexpr size_t kInstanceNameBytes = 32;
 
-// The cloud will create nothing for this request, however often it is sent.
+// Whether the reply is a permanent rejection: the cloud will create nothing for
+// this request, however often it is sent.
 bool IsRejected(const CloudReply& reply) {
   return reply.no_capacity || reply.status == http_status::kBadRequest ||
          (reply.status == http_status::kOk && reply.created.empty());
@@ -46,12 +49,13 @@
       inventory_(inventory),
       fencing_token_(fencing_token) {}
 
-// Several requests go into one transaction: with one for each decision a large
-// fleet would wait for its last instances for longer than they take to boot.
+// Several requests go into one transaction. With only one request per decision,
+// a large fleet would wait for its last instances to be requested for longer
+// than they take to boot.
 void InstanceRequests::Create(OfferCounts wanted, ScalingReason reason,
                               const SizingDecision& decision) {
   Transaction transaction;
-  // Half of the writes that the service takes in one transaction.
+  // Half of the operations that the state service accepts in one transaction.
   const size_t max_requests =
       std::max<size_t>(1, state_limits_.Operations() / 2);
   while (!wanted.empty() && transaction.writes.size() < max_requests) {
@@ -60,7 +64,9 @@
   state_writer_.Write(std::move(transaction), [](const StateReply&) {});
 }
 
-// The kind of which most are wanted goes first, so that none waits for another.
+// Removes instances of the offer with the highest remaining count from `wanted`
+// and returns a request for them. Taking the highest count first keeps one
+// offer from delaying the others. `wanted` must not be empty.
 InstanceRequestRecord InstanceRequests::TakeLargest(OfferCounts& wanted) const {
   auto largest = std::ranges::max_element(
       wanted, {}, [](const auto& entry) { return entry.second; });
@@ -91,7 +97,8 @@
       {keys::InstanceRequest(name), std::move(record), 0});
 }
 
-// The names of the instances have to fit into the stored record.
+// Returns the largest number of instances whose names fit into the stored
+// record, at least 1.
 uint32_t InstanceRequests::MaxInstancesPerRequest() const {
   const size_t bytes = state_limits_.UsableValueBytes();
   const size_t names =
@@ -162,14 +169,15 @@
   if (reply.status == http_status::kTooManyRequests) cloud_.Drain(now);
   const bool rejected = IsRejected(reply);
   if (!rejected && reply.status != http_status::kOk)
-    return;  // sent again later
+    return;  // Reconcile() sends the request again.
   if (rejected || reply.created.size() < record.count) {
     refused_until_[OfferOf(record)] = now + kRefusedInterval;
   }
   StoreAnswer(name, record, stored->second.mod_revision, reply);
 }
 
-// A rejected request is deleted; an answered one gets the instances' names.
+// Deletes a rejected request. Otherwise stores the names of the created
+// instances in the request and adds the instances to the inventory.
 void InstanceRequests::StoreAnswer(const std::string& name,
                                    InstanceRequestRecord record,
                                    uint64_t mod_revision,
@@ -199,9 +207,10 @@
   });
 }
 
-// Whether all instances of an answered request have been listed, or will not be
-// any more. A new leader learns from the record of those that are not listed
-// yet, and adds them to the inventory.
+// Whether each instance of an answered request has been listed or is considered
+// gone. Adds instances that the inventory does not have and that may still be
+// listed: this is how a new leader learns of the instances that an earlier
+// leader requested.
 bool InstanceRequests::AllListed(const InstanceRequestRecord& record) {
   const Duration age = out_.now().wall - record.asked;
   const bool may_be_unlisted = age < 2 * deployment_.list_lag + kUnlistedMargin;
--- a/src/core/autoscaler/instance_requests.h
+++ b/src/core/autoscaler/instance_requests.h
@@ -1,4 +1,5 @@
-// Requests for instances, from the decision until the cloud lists them.
+// Requests to the cloud for instances, from the scaling decision until the
+// cloud lists the instances.
 #ifndef PITCHFALL_CORE_AUTOSCALER_INSTANCE_REQUESTS_H_
 #define PITCHFALL_CORE_AUTOSCALER_INSTANCE_REQUESTS_H_
 
@@ -21,19 +22,20 @@
 
 namespace pitchfall {
 
-// Instances that a request asked for and the cloud has not answered for yet.
+// The instances of a request that the cloud has not answered yet.
 struct PendingInstances {
   Offer offer;
   int count = 0;
 };
 
-// Every request is stored before it is sent, under a name that makes it
-// idempotent at the cloud. After a failover the new leader sends again what its
-// predecessor stored, which creates nothing twice. The answer is stored with
-// the names of the instances; the request is deleted once all are listed.
+// Creates requests and carries them out. Each request is stored before it is
+// sent, and its name serves as the cloud's idempotency key: after a failover
+// the new leader sends the stored requests again, which creates no instance
+// twice. The names of the created instances are stored in the request, and the
+// request is deleted once the cloud lists all of them.
 class InstanceRequests {
  public:
-  // `cloud` is the process's share of the cloud's rate of calls.
+  // `cloud` limits the rate of this process's calls to the cloud.
   // `fencing_token` makes the names of this leader's requests unique.
   InstanceRequests(Outbox& out, const Deployment& deployment,
                    const Tuning& tuning, const StateCache& state_cache,
@@ -41,20 +43,22 @@
                    LeaderStateWriter& state_writer,
                    InstanceInventory& inventory, uint64_t fencing_token);
 
-  // Stores as many requests as one transaction takes for the `wanted`
-  // instances; what is left over is asked for by the next decision. The reason
-  // and the decision's numbers are logged with them.
+  // Stores requests for the `wanted` instances, all in one transaction.
+  // Instances that do not fit into it are left to the next scaling decision.
+  // `reason` and the numbers in `decision` appear in the log only.
   void Create(OfferCounts wanted, ScalingReason reason,
               const SizingDecision& decision);
 
-  // Takes every stored request one step further: sends it, adds the instances
-  // of an answered one to the inventory, or deletes it. Stops at a request that
-  // the rate of calls does not allow to be sent now.
+  // Advances each stored request: sends it if it has no answer, adds the
+  // instances of an answered one to the inventory, and deletes it once they are
+  // all listed. Stops at the first request that the rate limit does not allow
+  // to be sent now.
   void Reconcile();
 
-  // The stored requests without an answer, in the order of their names.
+  // Returns the stored requests without an answer, ordered by name.
   std::vector<PendingInstances> Pending() const;
-  // Whether the cloud lately had too few instances of this kind.
+  // Whether the cloud recently rejected a request for this offer, or created
+  // fewer instances than requested.
   bool RecentlyRefused(const Offer& offer) const;
 
  private:
@@ -83,10 +87,11 @@
   LeaderStateWriter& state_writer_;
   InstanceInventory& inventory_;
   const uint64_t fencing_token_;
-  uint32_t created_ = 0;  // requests, by this leader
-  std::set<std::string> sending_;
-  std::map<std::string, SteadyTime> next_send_;
-  std::set<std::string> deleting_;
+  uint32_t created_ = 0;  // number of requests that this leader has created
+  // The following three are keyed by the name of the request.
+  std::set<std::string> sending_;                // calls in progress
+  std::map<std::string, SteadyTime> next_send_;  // earliest time of a retry
+  std::set<std::string> deleting_;               // deletions in progress
   std::map<Offer, SteadyTime> refused_until_;
   LifetimeGuard guard_;
 };
