--- a/src/core/autoscaler/leader_state_writer.cc
+++ b/src/core/autoscaler/leader_state_writer.cc
@@ -20,8 +20,9 @@
 void LeaderStateWriter::Write(Transaction transaction,
                               Outbox::StateHandler on_reply) {
   const SteadyTime now = out_.now().steady;
-  // The leader's transactions are few and never wait for tokens; the other
-  // writers of this process make up for the debt.
+  // The leader sends few transactions and must not delay them, so it takes
+  // tokens on credit; the other writers of this process wait until the buckets
+  // have refilled.
   writes_.TakeOnCredit(now, static_cast<double>(transaction.writes.size()));
   requests_.TakeOnCredit(now, 1);
   transaction.conditions.push_back({keys::Partition(0), fencing_token_});
@@ -30,8 +31,8 @@
                  guard_.Wrap([this, on_reply = std::move(on_reply)](
                                  const StateReply& reply) {
                    on_reply(reply);
-                   // An answer may be lost or a failure although the write was
-                   // applied; only a later read tells.
+                   // The write may have been applied even if the reply is a
+                   // failure or a timeout; only a later read shows the outcome.
                    state_watcher_.AfterNextRead(
                        guard_.Wrap([this](bool) { writing_ = false; }));
                  }));
--- a/src/core/autoscaler/leader_state_writer.h
+++ b/src/core/autoscaler/leader_state_writer.h
@@ -13,24 +13,25 @@
 namespace pitchfall {
 
 // Sends transactions that apply only while this controller owns partition 0, so
-// that a deposed leader cannot change what its successor decides.
+// that a deposed leader cannot overwrite its successor's decisions.
 class LeaderStateWriter {
  public:
-  // `requests` and `writes` are the process's shares of the state service's
-  // rates. `fencing_token` is that of partition 0.
+  // `requests` and `writes` limit the rates of this process's calls and writes
+  // to the state service. `fencing_token` is that of partition 0.
   LeaderStateWriter(Outbox& out, const Tuning& tuning, TokenBucket& requests,
                     TokenBucket& writes, StateWatcher& state_watcher,
                     uint64_t fencing_token);
 
-  // Sends the transaction with the condition that partition 0 still has this
-  // leader's fencing token. `on_reply` is called with the answer, also if it is
-  // a failure or there was none; not if this writer is destroyed before. The
-  // caller must live as long as this writer.
+  // Sends the transaction with the added condition that partition 0 still has
+  // this leader's fencing token. `on_reply` is called with the reply, which may
+  // be a failure or a timeout; it is not called once this writer has been
+  // destroyed. Whatever `on_reply` refers to must live as long as this writer.
   void Write(Transaction transaction, Outbox::StateHandler on_reply);
 
-  // Whether a transaction's outcome may not be in the state cache yet: it has
-  // no answer, or no read that started after its answer has ended. Decisions
-  // taken meanwhile could repeat what it did.
+  // Whether the state cache may lack the outcome of the last transaction: the
+  // transaction has no reply yet, or no read of the state service that started
+  // after the reply has ended. A failed read counts as ended. Decisions made in
+  // the meantime could repeat what the transaction did.
   bool writing() const { return writing_; }
 
  private:
--- a/src/core/autoscaler/machine_type_catalog.cc
+++ b/src/core/autoscaler/machine_type_catalog.cc
@@ -12,10 +12,10 @@
 
 constexpr Duration kFetchInterval = Millis(30000);
 constexpr Duration kRetryDelay = Millis(1000);
-// Money an hour for a type that is not listed: above any real price, so that
-// its instances are requested last and given up first.
+// The price, in money per hour, of a type that the cloud does not list. It is
+// above any real price, so that instances of the type are removed first.
 constexpr double kUnlistedPrice = 1e9;
-// Assumed for a type that is not listed.
+// The boot time of a type that the cloud does not list.
 constexpr Duration kUnlistedBootTime = Millis(60000);
 
 }  // namespace
@@ -118,7 +118,8 @@
   std::set<std::string> open;
   for (const MachineType& type : types()) {
     for (const std::string& zone : type.zones) {
-      // A job that is spread has at most half of its tasks in one zone.
+      // A job with `spread` has at most half of its tasks (rounded up) in one
+      // zone.
       const bool full =
           spec.spread && tasks_in[zone] + 1 > (spec.tasks + 1) / 2;
       if (!full) open.insert(zone);
--- a/src/core/autoscaler/machine_type_catalog.h
+++ b/src/core/autoscaler/machine_type_catalog.h
@@ -1,4 +1,5 @@
-// The cloud's machine types: fetched, stored, and compared with what jobs need.
+// The machine types of the cloud: fetches and stores them, and matches them
+// with the requirements of jobs.
 #ifndef PITCHFALL_CORE_AUTOSCALER_MACHINE_TYPE_CATALOG_H_
 #define PITCHFALL_CORE_AUTOSCALER_MACHINE_TYPE_CATALOG_H_
 
@@ -16,36 +17,41 @@
 
 namespace pitchfall {
 
-// Keeps the stored machine types as the cloud lists them, and answers questions
-// about them from the state cache.
+// Keeps the stored machine types equal to the cloud's list. Its queries read
+// the types from the state cache.
 class MachineTypeCatalog {
  public:
-  // `cloud` is the process's share of the cloud's rate of calls.
+  // `cloud` limits the rate of this process's calls to the cloud.
   MachineTypeCatalog(Outbox& out, const Tuning& tuning,
                      const StateCache& state_cache, TokenBucket& cloud,
                      LeaderStateWriter& state_writer);
 
-  // Asks the cloud for its types if that is due and the rate allows a call, and
-  // stores them if they have changed. Failures are tried again.
+  // Fetches the machine types from the cloud if that is due and the rate limit
+  // allows a call, and stores them if they have changed. Retries after
+  // failures.
   void FetchIfDue();
 
-  // Whether the types are known. All functions below need that.
+  // Whether the machine types are known. All functions below require this.
   bool Loaded() const { return state_cache_.types().has_value(); }
 
-  // Money an hour. Prohibitive for types that the cloud lists no more.
+  // Returns the price in money per hour. A type that the cloud no longer lists
+  // has a price above any real one.
   double PriceOf(const Offer& offer) const;
-  // Time from the request until an instance of the type runs.
+  // Returns the time from the request until an instance of the type is running;
+  // a default for a type that the cloud no longer lists.
   Duration BootTimeOf(const Offer& offer) const;
-  // Everything that can be requested, the cheapest first; of one price in the
+  // Returns all offers, the cheapest first. Offers of the same price are in the
   // order of the cloud's list.
   std::vector<Offer> OffersByPrice() const;
-  // How many machines of the first type have these resources, going by the
-  // scarcest of them.
+  // Converts resources to a (fractional) number of machines of the first type,
+  // as determined by the resource that needs most machines. Resources that the
+  // first type does not have count as 0.
   double MachinesFor(const Resources& resources) const;
-  // Whether a machine of this kind can run a task of the job and the job's
-  // rules allow it there.
+  // Whether an instance of this offer has the capacity for a task of the job
+  // and satisfies the job's constraints on type, zone and spot instances.
   bool CanRun(const JobSpec& spec, const Offer& offer) const;
-  // The zones in which the job's rules allow another of its tasks.
+  // Returns the zones in which the job's spread constraint allows another of
+  // its tasks.
   std::set<std::string> OpenZones(const Job& job) const;
 
  private:
--- a/src/core/autoscaler/machine_use.h
+++ b/src/core/autoscaler/machine_use.h
@@ -1,4 +1,4 @@
-// What is bound to each machine, as the autoscaler sees it.
+// The resources that tasks use on each machine, for the autoscaler.
 #ifndef PITCHFALL_CORE_AUTOSCALER_MACHINE_USE_H_
 #define PITCHFALL_CORE_AUTOSCALER_MACHINE_USE_H_
 
@@ -12,17 +12,17 @@
 
 namespace pitchfall {
 
-// The tasks that are bound to one machine.
+// The use of one machine by the tasks that are bound to it.
 struct MachineUse {
-  Resources resources;
+  Resources resources;  // total of all tasks
   std::map<Priority, Resources> by_priority;
-  uint32_t replicas = 0;  // of services
+  uint32_t replicas = 0;  // number of tasks that are service replicas
 };
 
-// By name of the machine. Machines without tasks have no entry.
+// Use by machine name. Machines without tasks have no entry.
 using MachineUseTable = std::map<std::string, MachineUse>;
 
-// Sums the stored bindings of all open jobs.
+// Sums up the stored task assignments of all open jobs.
 MachineUseTable MeasureMachineUse(const StateCache& state_cache);
 
 }  // namespace pitchfall
--- a/src/core/autoscaler/offer.h
+++ b/src/core/autoscaler/offer.h
@@ -1,4 +1,4 @@
-// What the cloud offers: kinds of instances.
+// Offers: the kinds of instances that the cloud can create.
 #ifndef PITCHFALL_CORE_AUTOSCALER_OFFER_H_
 #define PITCHFALL_CORE_AUTOSCALER_OFFER_H_
 
@@ -10,19 +10,19 @@
 
 namespace pitchfall {
 
-// A kind of instance that can be requested.
+// A kind of instance that can be requested from the cloud.
 struct Offer {
-  std::string type;  // name of a machine type
+  std::string type;  // name of the machine type
   std::string zone;
-  bool spot = false;
+  bool spot = false;  // false: an on-demand instance
 
   auto operator<=>(const Offer&) const = default;
 };
 
-// Numbers of instances of each kind.
+// Number of instances of each offer.
 using OfferCounts = std::map<Offer, int>;
 
-// The kind of instance that the request asks for.
+// Returns the offer that the request is for.
 inline Offer OfferOf(const InstanceRequestRecord& record) {
   return {record.type, record.zone, record.spot};
 }
