--- a/src/core/autoscaler/scale_in.cc
+++ b/src/core/autoscaler/scale_in.cc
@@ -7,14 +7,14 @@
 namespace pitchfall {
 namespace {
 
-// The cloud charges an instance for this long at least: deleting it earlier
-// saves nothing.
+// The cloud charges at least this time for each instance, so deleting one
+// earlier saves nothing.
 constexpr Duration kMinimumCharge = Millis(60000);
-// Replicas on draining machines at any moment: each has to be stopped and
-// started elsewhere.
+// The largest number of service replicas on draining machines at any time. Each
+// of them has to be stopped and started on another machine.
 constexpr uint32_t kMaxDrainingReplicas = 4;
-// Of the stored record as JSON: without names, and what each takes beyond its
-// letters (quotes and a comma).
+// Sizes in the stored record as JSON: of the record without names, and of the
+// quotes and the comma of each name.
 constexpr size_t kDrainRecordBytes = 64;
 constexpr size_t kNameOverheadBytes = 3;
 
@@ -60,8 +60,9 @@
   return true;
 }
 
-// Machines with replicas go last. Empty machines go first, the dearest before
-// the others; then busy ones, those with the least on them before the others.
+// Orders candidates for removal: empty machines first, the most expensive of
+// them first; then machines with tasks, by load per price; machines with
+// service replicas last, by their number.
 bool ScaleIn::GoesBefore(const Candidate& left, const Candidate& right) {
   return std::tie(left.replicas, left.load_per_price, right.price,
                   left.machine) < std::tie(right.replicas, right.load_per_price,
@@ -152,11 +153,11 @@
 
 void ScaleIn::Store(std::vector<std::string> machines) {
   const auto& stored = state_cache_.drain();
-  // Machines that are gone need no mention any more.
+  // Drops machines that no longer exist.
   std::erase_if(machines, [this](const std::string& name) {
     return inventory_.Find(name) == nullptr;
   });
-  // What does not fit into one value goes next time.
+  // Machines that do not fit into one value are cordoned by a later decision.
   KeepWithin(machines, state_limits_.ValueBytes());
   Transaction transaction;
   transaction.conditions.push_back(
--- a/src/core/autoscaler/scale_in.h
+++ b/src/core/autoscaler/scale_in.h
@@ -1,4 +1,4 @@
-// Which machines to give up.
+// Scaling in: selects machines for removal and cordons them.
 #ifndef PITCHFALL_CORE_AUTOSCALER_SCALE_IN_H_
 #define PITCHFALL_CORE_AUTOSCALER_SCALE_IN_H_
 
@@ -20,20 +20,21 @@
 
 namespace pitchfall {
 
-// Drops names from the end until the record that lists them takes at most this
-// many bytes as JSON.
+// Removes names from the end until the drain record that lists them takes at
+// most `bytes` bytes as JSON.
 void KeepWithin(std::vector<std::string>& names, size_t bytes);
 
-// How many machines may be given up.
+// How many machines may be removed.
 struct Surplus {
   int machines = 0;
-  // Of these, how many may be other than spot instances. Jobs that must not run
-  // on spot instances keep what they need.
+  // How many of these may be on-demand instances. This preserves the capacity
+  // of jobs that must not run on spot instances.
   int ordinary = 0;
 };
 
-// Cordons machines by storing their names: they get no new tasks, and the
-// owners of their partitions delete them when they are empty.
+// Cordons machines by storing their names in the drain record. A cordoned
+// machine gets no new tasks, and the owner of its partition deletes it once it
+// is empty.
 class ScaleIn {
  public:
   ScaleIn(Outbox& out, const Tuning& tuning, const StateCache& state_cache,
@@ -41,27 +42,28 @@
           const MachineTypeCatalog& machine_types,
           const InstanceInventory& inventory, LeaderStateWriter& state_writer);
 
-  // Cordons the machines that cost least to give up, once there has been a
-  // surplus for as long as the tuning says. Returns whether any are. The
-  // decision is for the log. The machine types must be known.
+  // Cordons the machines that are cheapest to remove, once the surplus has
+  // lasted for Tuning::idle_before_return. Returns whether it selected any.
+  // `decision` appears in the log only. The machine types must be known.
   bool CordonSurplus(const Surplus& surplus, const MachineUseTable& use,
                      const SizingDecision& decision);
-  // There is no surplus now: the time for which one has lasted starts again.
+  // Records that there is no surplus now, which restarts the time for which a
+  // surplus has to last.
   void ResetSurplus() { surplus_since_.reset(); }
 
-  // Uncordons up to `count` machines that still have tasks, and returns how
-  // many. Such a machine is there at once and costs no boot.
+  // Uncordons up to `count` running machines that still have tasks, and returns
+  // their number. Such a machine is available at once, without a boot time.
   int Uncordon(int count);
 
  private:
-  // A machine that may be given up, and what that costs.
+  // A machine that may be removed, and the cost of removing it.
   struct Candidate {
     std::string machine;
     bool spot = false;
-    double price = 0;  // money an hour
-    uint32_t replicas = 0;
-    // What is lost while the machine empties (in machines) against the price
-    // that is saved.
+    double price = 0;       // money per hour
+    uint32_t replicas = 0;  // of services, running on the machine
+    // The load on the machine (in machines of the first type), which has to
+    // move elsewhere, divided by the price that the removal saves.
     double load_per_price = 0;
   };
 
--- a/src/core/autoscaler/scale_out.cc
+++ b/src/core/autoscaler/scale_out.cc
@@ -38,8 +38,10 @@
   return false;
 }
 
-// Offers at the same price, which differ by zone, each get their share: jobs
-// may have to be spread over zones, and a zone may lose its machines.
+// Spreads the requested instances over the `available` offers, so that the
+// numbers of instances of each become as equal as possible. Such offers have
+// the same price and usually differ by zone: jobs may have to be spread over
+// zones, and a zone may lose its machines.
 bool ScaleOut::RequestSpread(int count, OfferCounts available,
                              ScalingReason reason,
                              const SizingDecision& decision) {
@@ -58,8 +60,8 @@
   return true;
 }
 
-// The offers at the lowest price that have not been refused lately, each with
-// the count 0.
+// Returns the offers at the lowest price among those that were not refused
+// recently, each with a count of 0.
 OfferCounts ScaleOut::CheapestOffers(bool spot_allowed) const {
   OfferCounts cheapest;
   for (const Offer& offer : machine_types_.OffersByPrice()) {
@@ -75,7 +77,8 @@
   return cheapest;
 }
 
-// Machines that are not draining and pending instances of each kind.
+// Returns the number of instances of each offer: those that are not draining
+// and pending ones.
 OfferCounts ScaleOut::CountByOffer() const {
   OfferCounts counts;
   for (const auto& [name, instance] : inventory_.instances()) {
@@ -102,7 +105,8 @@
   return nullptr;
 }
 
-// Kinds of which there is a machine, or a request that is not deleted yet.
+// Returns the offers of which there is an instance that has not failed and is
+// not draining, or a stored request.
 std::set<Offer> ScaleOut::KindsAtHand() const {
   std::set<Offer> kinds;
   for (const auto& [name, instance] : inventory_.instances()) {
@@ -115,16 +119,17 @@
   return kinds;
 }
 
-// Whether another task of the job can run on this kind, given the zones that
-// its rules leave open.
+// Whether an instance of this offer can run another task of the job. `zones`
+// are the zones that the job's spread constraint allows.
 bool ScaleOut::CanRunMore(const Job& job, const std::set<std::string>& zones,
                           const Offer& offer) const {
   return zones.contains(offer.zone) && machine_types_.CanRun(job.spec(), offer);
 }
 
-// Whether a machine, or a pending one, has or can make capacity for one more
-// replica of the job. The sum of what is requested does not tell: capacity may
-// be free in pieces, or in a zone where no more of the replicas may run.
+// Whether an existing or pending instance has capacity for one more replica of
+// the job, if need be by preempting tasks of lower priority. The total of the
+// requested resources does not show this: free capacity may be fragmented, or
+// in a zone where no more replicas of the job may run.
 bool ScaleOut::HasCapacityForReplica(const Job& job,
                                      const MachineUseTable& use) const {
   const std::set<std::string> zones = machine_types_.OpenZones(job);
@@ -140,8 +145,8 @@
   });
 }
 
-// Whether a task fits on the machine beside the tasks of its own and higher
-// priority. Less important ones can be displaced.
+// Whether a task fits on the machine beside the tasks of equal or higher
+// priority. Tasks of lower priority can be preempted.
 bool ScaleOut::FitsBesideMoreImportant(const JobSpec& spec,
                                        const std::string& machine,
                                        const Instance& instance,
--- a/src/core/autoscaler/scale_out.h
+++ b/src/core/autoscaler/scale_out.h
@@ -1,4 +1,4 @@
-// Which instances to request, and for what.
+// Scaling out: selects the instances to request.
 #ifndef PITCHFALL_CORE_AUTOSCALER_SCALE_OUT_H_
 #define PITCHFALL_CORE_AUTOSCALER_SCALE_OUT_H_
 
@@ -16,29 +16,32 @@
 
 namespace pitchfall {
 
-// Chooses offers by price and by what the waiting jobs may run on, and creates
-// requests for them. Has no state of its own. The machine types must be known.
+// Selects offers by price and by the constraints of the waiting jobs, and
+// creates requests for them. Has no state of its own. The machine types must be
+// known.
 //
-// Functions that request instances return whether they did: they do not if
-// every offer that would do was refused lately. The decision is for the log.
+// Functions that request instances return whether they did so: they do not if
+// the cloud recently refused every suitable offer. `decision` appears in the
+// log only.
 class ScaleOut {
  public:
   ScaleOut(const StateCache& state_cache,
            const MachineTypeCatalog& machine_types,
            const InstanceInventory& inventory, InstanceRequests& requests);
 
-  // Requests `count` (at least 1) instances that are not spot instances.
+  // Requests `count` (at least 1) of the cheapest on-demand instances.
   bool RequestOrdinary(int count, const SizingDecision& decision);
-  // Requests `count` (at least 1) instances of the cheapest kinds; no spot
-  // instances if no job may run on them.
+  // Requests `count` (at least 1) of the cheapest instances. Spot instances are
+  // excluded if all requested CPUs are for jobs that must not run on them.
   bool RequestCheapest(int count, const Demand& demand,
                        const SizingDecision& decision);
-  // Requests one instance of the cheapest kind that can run the job.
+  // Requests one instance of the cheapest offer that can run the job.
   bool RequestFor(const Job& job, const SizingDecision& decision);
 
-  // The first of the waiting jobs that needs an instance of its own: no machine
-  // can ever run its tasks, or it is a service and no machine has or can make
-  // capacity for one more replica. Null if there is none.
+  // Returns the first waiting job that needs an additional instance, or null if
+  // there is none. A job needs one if no existing or requested instance can
+  // ever run its tasks, or if it is a service and no instance has capacity for
+  // one more replica, even by preempting tasks of lower priority.
   const Job* FindUnservedJob(const Demand& demand,
                              const MachineUseTable& use) const;
 
