--- a/src/core/autoscaler/sizing/forecast.cc
+++ b/src/core/autoscaler/sizing/forecast.cc
@@ -7,8 +7,10 @@
 namespace pitchfall::sizing {
 namespace {
 
+// Lags of the long autoregression that estimates the errors.
 constexpr int kLongLags = 3;
-// A series whose values differ by no more than this share of them is constant.
+// A series is constant if its range is at most this fraction of its largest
+// value (or of 1, if that is larger).
 constexpr double kConstantTolerance = 1e-9;
 // A forecast is at most this many times the largest observation.
 constexpr double kMaxGrowth = 1.25;
@@ -21,7 +23,8 @@
   return d;
 }
 
-// Residuals of an autoregression with kLongLags lags; 0 for the first ones.
+// Returns the residuals of an autoregression with kLongLags lags; 0 for the
+// first kLongLags entries.
 std::vector<double> LongErrors(const std::vector<double>& d) {
   const int n = static_cast<int>(d.size());
   Eigen::MatrixXd x(n - kLongLags, kLongLags + 1);
@@ -87,7 +90,7 @@
   double error = fit.last_error;
   for (double& next : values) {
     double d = fit.constant + fit.phi1 * d1 + fit.phi2 * d2 + fit.theta * error;
-    error = 0;  // of the future nothing is known
+    error = 0;  // The expected value of future errors is 0.
     d2 = d1;
     d1 = d;
     value += d;
--- a/src/core/autoscaler/sizing/target.cc
+++ b/src/core/autoscaler/sizing/target.cc
@@ -6,18 +6,20 @@
 namespace pitchfall::sizing {
 namespace {
 
-// Utilisations above this count as this: the curve has no value at 1.
+// Utilisations are limited to this value, because the curve has a pole at 1.
 constexpr double kMaxUtilisation = 0.98;
-// Seconds. A fitted delay that does not grow with the load would ask for no
-// spare machines at all.
+// In seconds. A fitted delay that does not grow with the load would give a
+// target without any spare machines.
 constexpr double kMinSlope = 1e-3;
 constexpr size_t kMinPointsToFit = 3;
-// With less variance of the load than this, the points lie at one utilisation.
+// If the sum of squared deviations of U / (1 - U) is less than this, all points
+// have about the same utilisation and no curve can be fitted.
 constexpr double kMinLoadVariance = 1e-6;
-// Machines. A target that exceeds a whole number by less is a rounding error.
+// In machines. A target that exceeds a whole number by less than this does so
+// by a rounding error and is not rounded up.
 constexpr double kTargetTolerance = 1e-9;
 
-// U / (1 - U), the variable in which the delay curve is linear.
+// Returns U / (1 - U), the variable in which the delay curve is linear.
 double Load(double utilisation) {
   double u = std::clamp(utilisation, 0.0, kMaxUtilisation);
   return u / (1 - u);
@@ -57,7 +59,7 @@
   double delay_cost =
       in.waiting * in.delay_price * in.curve.slope * in.capacity;
   double target = in.capacity + std::sqrt(std::max(0.0, delay_cost / in.rent));
-  // d(U) = bound at U = (bound - b) / (a + bound - b).
+  // The fitted delay meets the bound at U = (bound - b) / (a + bound - b).
   double spare = in.delay_bound - in.curve.base;
   double utilisation = std::max(
       in.least_utilisation, spare <= 0 ? 0 : spare / (in.curve.slope + spare));
--- a/src/core/autoscaler/sizing/target.h
+++ b/src/core/autoscaler/sizing/target.h
@@ -1,8 +1,8 @@
-// How many machines there should be: the design's capped square-root target.
+// The target number of machines: square-root staffing with two caps.
 //
-// Units: w and the target are machines; delays are seconds; p is money for each
-// second that one waiting task is late, over one period; rent is money for one
-// machine and period.
+// Units: w (the requested capacity) and the target are in machines; delays are
+// in seconds; p is in money per second that one waiting task is late, over one
+// period; c E is the money that one machine costs over one period.
 #ifndef PITCHFALL_CORE_AUTOSCALER_SIZING_TARGET_H_
 #define PITCHFALL_CORE_AUTOSCALER_SIZING_TARGET_H_
 
@@ -10,42 +10,46 @@
 
 namespace pitchfall::sizing {
 
-// What was measured in one period.
+// The measurements of one period.
 struct DelayPoint {
-  double utilisation = 0;  // of the most-loaded resource, 0 to 1
-  double delay = 0;        // mean wait of the tasks that started, seconds
+  double utilisation = 0;  // of the resource that is used most, 0 to 1
+  double delay = 0;  // mean waiting time of the tasks that started, in seconds
 };
 
-// The mean wait at a utilisation: d(U) = slope * U / (1 - U) + base.
+// The mean waiting time as a function of the utilisation U:
+// d(U) = slope * U / (1 - U) + base, or d(U) = a * U / (1 - U) + b for short.
 struct DelayCurve {
   double slope = 1;  // seconds
   double base = 0;   // seconds
-  // Seconds. Utilisations near 1 give the value at 0.98.
+  // Returns the mean waiting time in seconds. Utilisations above 0.98 give the
+  // value at 0.98.
   double At(double utilisation) const;
 };
 
-// Least squares over the points, with slope and base kept from going negative.
-// With fewer than three points, or all at one utilisation, `fallback`.
+// Fits the curve to the points by least squares. The slope is at least 0.001 s
+// and the base at least 0. Returns `fallback` for fewer than three points or if
+// all points have about the same utilisation.
 DelayCurve FitDelay(std::span<const DelayPoint> points, DelayCurve fallback);
 
-// What the target depends on, in the units above.
+// The inputs of the target, in the units above.
 struct TargetInputs {
   double capacity = 0;      // w
-  double waiting = 0;       // N, admissible waiting tasks
+  double waiting = 0;       // N, number of admissible waiting tasks
   double delay_price = 0;   // p
   double rent = 1;          // c * E
   double delay_bound = 10;  // seconds
-  // The cap never asks for more than w over this: delays that have other causes
-  // than load make the fitted utilisation meaningless.
+  // Limits the target to w divided by this, whatever the fitted curve says:
+  // delays that have other causes than load make the fit meaningless.
   double least_utilisation = 0.8;
-  // Nor for more than w and this times its square root: the more machines there
-  // are, the smaller the share of them that must be free for some to be.
+  // Limits the target to w plus this factor (s) times sqrt(w): in a larger
+  // cluster a smaller fraction of spare machines is enough for some to be free.
   double max_spare = 1.1;
   DelayCurve curve;
 };
 
-// w + sqrt(N p a w / (c E)), at most w over the utilisation at which the fitted
-// delay meets the bound and at most w + s sqrt(w), rounded up.
+// Returns w + sqrt(N p a w / (c E)), rounded up, where a is the slope of the
+// curve. The result is at most w over the utilisation at which the fitted delay
+// meets the bound, and at most w + s sqrt(w). Returns 0 if w is not positive.
 int Target(const TargetInputs& in);
 
 }  // namespace pitchfall::sizing
--- a/src/core/autoscaler/sizing/tracking.cc
+++ b/src/core/autoscaler/sizing/tracking.cc
@@ -8,7 +8,8 @@
                  double r) {
   const auto horizon = static_cast<Eigen::Index>(targets.size());
   if (horizon == 0) return 0;
-  // The count after move h is the sum of the moves up to h: L u.
+  // The change of the count up to period h is the sum of the moves up to h, so
+  // the changes are L u, with L the lower triangular matrix of ones.
   Eigen::MatrixXd sums =
       Eigen::MatrixXd::Ones(horizon, horizon).triangularView<Eigen::Lower>();
   Eigen::VectorXd error(horizon);
--- a/src/core/autoscaler/sizing/tracking.h
+++ b/src/core/autoscaler/sizing/tracking.h
@@ -1,5 +1,6 @@
-// The tracking step: how far to move the number of machines now, given the
-// targets of the next periods.
+// Tracking of the targets by linear-quadratic model predictive control:
+// computes by how many machines to change their number now, from the targets of
+// the next periods.
 #ifndef PITCHFALL_CORE_AUTOSCALER_SIZING_TRACKING_H_
 #define PITCHFALL_CORE_AUTOSCALER_SIZING_TRACKING_H_
 
@@ -7,9 +8,10 @@
 
 namespace pitchfall::sizing {
 
-// Minimises the sum over the horizon of Q e^2 + R u^2, where e is count minus
-// target after each move and u the move, and returns the first move. `targets`
-// holds one entry a period, the first for the count after the first move.
+// Returns the first of the moves that minimise the sum of Q e^2 + R u^2 over
+// the horizon, where u is the move of a period and e the number of machines
+// after it minus the target. `targets` has one entry per period; the first is
+// the target after the first move. Returns 0 if `targets` is empty.
 double FirstMove(double count, std::span<const double> targets, double q,
                  double r);
 
--- a/src/core/autoscaler/sizing_decision.h
+++ b/src/core/autoscaler/sizing_decision.h
@@ -1,4 +1,4 @@
-// What the autoscaler decided last.
+// The autoscaler's last decision on the number of machines.
 #ifndef PITCHFALL_CORE_AUTOSCALER_SIZING_DECISION_H_
 #define PITCHFALL_CORE_AUTOSCALER_SIZING_DECISION_H_
 
@@ -9,15 +9,15 @@
 
 // Why the number of machines was changed last.
 enum class ScalingReason : uint8_t {
-  kStart,     // not yet, by this leader
-  kOrdinary,  // more for jobs that must not run on spot instances
-  kTarget,    // more because there were fewer than the target
-  kUnserved,  // more for a job that no machine can run
-  kSurplus,   // fewer because there were more than the target
-  kKeep,      // machines that were to go stay
+  kStart,     // this leader has changed nothing yet
+  kOrdinary,  // scaled out for jobs that must not run on spot instances
+  kTarget,    // scaled out because there were fewer machines than the target
+  kUnserved,  // scaled out for a waiting job that no machine had capacity for
+  kSurplus,   // scaled in because there were more machines than the target
+  kKeep,      // uncordoned machines because there were fewer than the target
 };
 
-// The name of the reason in the stored sizing record and in the log.
+// Returns the name of the reason in the stored sizing record and in the log.
 constexpr std::string_view ToString(ScalingReason reason) {
   switch (reason) {
     case ScalingReason::kStart:
@@ -36,10 +36,12 @@
   return "";
 }
 
-// Numbers of machines, and why they changed last.
+// The target and present number of machines, and the reason of the last change.
 struct SizingDecision {
   int target = 0;
-  int count = 0;  // without those that are draining or requested
+  // Present instances that are neither draining nor broken. Instances that are
+  // only requested do not count.
+  int count = 0;
   ScalingReason reason = ScalingReason::kStart;
 };
 
--- a/src/core/autoscaler/sizing_history.cc
+++ b/src/core/autoscaler/sizing_history.cc
@@ -10,18 +10,21 @@
 namespace pitchfall {
 namespace {
 
-// The window, in periods, that the forecast is fitted to.
+// The length, in periods, of the window that the forecast is fitted to.
 constexpr size_t kMaxPoints = 40;
-// Of the stored record as JSON: without its points, and each of them.
+// Upper estimates of the size of the stored record as JSON: without its points,
+// and for each point.
 constexpr size_t kRecordBytes = 200;
 constexpr size_t kPointBytes = 100;
-// What a point keeps has four decimal places, so that it stays within the size
-// above.
+// Stored values are rounded to four decimal places, so that a point stays
+// within kPointBytes.
 constexpr double kStoredPrecision = 10000;
-// The share of a period for which late reports are waited for: one over this.
+// A period's point waits for late reports for at most the period divided by
+// this.
 constexpr int kReportWaitDivisor = 3;
 constexpr double kSecondsPerHour = 3600;
-// Until there are points to fit a curve to.
+// The delay curve (slope and base in seconds) until there are enough points to
+// fit one.
 constexpr sizing::DelayCurve kDefaultDelayCurve{1.0, 1.0};
 
 double RoundedForStorage(double value) {
@@ -57,7 +60,7 @@
   Store(decision);
 }
 
-// A new leader goes on from what its predecessor has stored.
+// Loads the predecessor's history, if this leader has none of its own yet.
 void SizingHistory::LoadStored() {
   const auto& stored = state_cache_.sizing();
   if (!points_.empty() || !stored || last_period_ != 0) return;
@@ -74,8 +77,8 @@
     if (!reported) sum.complete = false;
     if (stored == nullptr) continue;
     const LoadRecord& load = stored->value;
-    // A partition whose report is late counts with its last one; otherwise the
-    // sum would seem to drop.
+    // A partition whose report is late counts with its last one, because the
+    // sum would otherwise seem to drop.
     sum.requested += load.requested;
     sum.used += load.used;
     if (!reported) continue;
--- a/src/core/autoscaler/sizing_history.h
+++ b/src/core/autoscaler/sizing_history.h
@@ -1,4 +1,4 @@
-// The series of what was requested, which the forecast of demand is made from.
+// The history of requested capacity, from which demand is forecast.
 #ifndef PITCHFALL_CORE_AUTOSCALER_SIZING_HISTORY_H_
 #define PITCHFALL_CORE_AUTOSCALER_SIZING_HISTORY_H_
 
@@ -16,14 +16,16 @@
 
 namespace pitchfall {
 
-// How many machines there should be.
+// The target numbers of machines, and the demand that they follow from.
 struct SizingTargets {
-  std::vector<double> by_period;  // of the next periods, the nearest first
-  double requested_machines = 0;  // what is requested now, in machines
+  // Targets for the next Tuning::horizon periods, the nearest first.
+  std::vector<double> by_period;
+  // The capacity requested now, in machines of the first type.
+  double requested_machines = 0;
 };
 
-// Keeps one point a period and stores it, so that a new leader's forecast goes
-// on from its predecessor's points.
+// Keeps one point per period and stores the points, so that a new leader
+// continues the forecast from its predecessor's history.
 class SizingHistory {
  public:
   SizingHistory(const Outbox& out, const Tuning& tuning,
@@ -31,24 +33,25 @@
                 const MachineTypeCatalog& machine_types,
                 LeaderStateWriter& state_writer);
 
-  // Adds the point of the current period, once, from what the partitions'
-  // owners report, and stores the history with the decision. Waits up to a
-  // third of the period for reports that are late, and while a transaction is
-  // under way. The machine types must be known.
+  // Adds one point for the current period, from the load reports of the
+  // partitions' owners, and stores the history with the decision. Does nothing
+  // if the period already has its point, while the outcome of a transaction is
+  // pending, or, in the first third of the period, while reports are missing.
+  // The machine types must be known.
   void RecordPeriod(const SizingDecision& decision, uint32_t partition_count);
 
-  // The targets for the demand and its forecast. The machine types must be
-  // known.
+  // Returns the targets for the present demand and its forecast, each at most
+  // Tuning::max_machines. The machine types must be known.
   SizingTargets TargetsFor(const Demand& demand) const;
 
  private:
-  // The sum of the partitions' reports for one period.
+  // The sum of the partitions' load reports for one period.
   struct PeriodLoad {
     Resources requested;
     Resources used;
-    uint32_t started = 0;  // tasks
-    Duration waited{0};    // by these tasks
-    bool complete = true;  // every partition has reported
+    uint32_t started = 0;  // number of tasks that started
+    Duration waited{0};    // total waiting time of these tasks
+    bool complete = true;  // whether every partition has reported
   };
 
   void LoadStored();
@@ -62,8 +65,10 @@
   const StateLimits& state_limits_;
   const MachineTypeCatalog& machine_types_;
   LeaderStateWriter& state_writer_;
-  std::vector<SizingRecord::Point> points_;  // one a period, the newest last
-  uint64_t last_period_ = 0;                 // since the epoch
+  std::vector<SizingRecord::Point> points_;  // one per period, the newest last
+  // The number of the last recorded period, counted from the Unix epoch in
+  // units of Tuning::period. 0: none.
+  uint64_t last_period_ = 0;
 };
 
 }  // namespace pitchfall
