--- a/src/core/autoscaler/autoscaler.cc
+++ b/src/core/autoscaler/autoscaler.cc
@@ -58,15 +58,15 @@
   decision_.count = inventory_.CountUsable();
   inventory_.DeleteBroken();
   const double move = PlanMove(demand, use);
-  if (state_writer_.writing()) return;
+  if (state_writer_.write_pending()) return;
 
   // Jobs that must not run on spot instances need enough on-demand instances.
-  const int ordinary = CountOrdinary();
+  const int on_demand = CountOnDemand();
   const double needed = machine_types_.MachinesFor(demand.ordinary_only);
-  if (needed > ordinary) {
-    const int missing = static_cast<int>(std::ceil(needed - ordinary));
-    if (scale_out_.RequestOrdinary(missing, decision_)) {
-      decision_.reason = ScalingReason::kOrdinary;
+  if (needed > on_demand) {
+    const int missing = static_cast<int>(std::ceil(needed - on_demand));
+    if (scale_out_.RequestOnDemand(missing, decision_)) {
+      decision_.reason = ScalingReason::kOnDemand;
     }
     return;
   }
@@ -83,7 +83,7 @@
     }
     return;
   }
-  ScaleInBy(move, ordinary - static_cast<int>(std::ceil(needed)), use);
+  ScaleInBy(move, on_demand - static_cast<int>(std::ceil(needed)), use);
 }
 
 // Returns the demand of the jobs of all partitions.
@@ -114,17 +114,17 @@
 void Autoscaler::ScaleOutToTarget(int missing, const Demand& demand) {
   scale_in_.ResetSurplus();
   if (scale_in_.Uncordon(missing) > 0) {
-    decision_.reason = ScalingReason::kKeep;
+    decision_.reason = ScalingReason::kUncordon;
   } else if (scale_out_.RequestCheapest(missing, demand, decision_)) {
     decision_.reason = ScalingReason::kTarget;
   }
 }
 
-void Autoscaler::ScaleInBy(double move, int spare_ordinary,
+void Autoscaler::ScaleInBy(double move, int spare_on_demand,
                            const MachineUseTable& use) {
   Surplus surplus;
   surplus.machines = static_cast<int>(std::lround(-move));
-  surplus.ordinary = spare_ordinary;
+  surplus.on_demand = spare_on_demand;
   if (surplus.machines <= 0) {
     scale_in_.ResetSurplus();
   } else if (scale_in_.CordonSurplus(surplus, use, decision_)) {
@@ -143,7 +143,7 @@
 
 // Returns the number of on-demand instances that are not draining, including
 // pending ones and ones that turned out broken.
-int Autoscaler::CountOrdinary() const {
+int Autoscaler::CountOnDemand() const {
   int count = 0;
   for (const PendingInstances& pending : requests_.Pending()) {
     if (!pending.offer.spot) count += pending.count;
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -40,9 +40,9 @@
   Demand MeasureTotalDemand() const;
   double PlanMove(const Demand& demand, const MachineUseTable& use);
   void ScaleOutToTarget(int missing, const Demand& demand);
-  void ScaleInBy(double move, int spare_ordinary, const MachineUseTable& use);
+  void ScaleInBy(double move, int spare_on_demand, const MachineUseTable& use);
   int CountPending() const;
-  int CountOrdinary() const;
+  int CountOnDemand() const;
 
   Context& context_;
   LeaderStateWriter state_writer_;
--- a/src/core/autoscaler/instance_inventory.cc
+++ b/src/core/autoscaler/instance_inventory.cc
@@ -23,12 +23,13 @@
 
 }  // namespace
 
-InstanceInventory::InstanceInventory(Outbox& out, const Deployment& deployment,
+InstanceInventory::InstanceInventory(Outbox& outbox,
+                                     const Deployment& deployment,
                                      const Tuning& tuning,
                                      const StateCache& state_cache,
                                      const MachineTypeCatalog& machine_types,
                                      TokenBucket& cloud)
-    : out_(out),
+    : outbox_(outbox),
       deployment_(deployment),
       tuning_(tuning),
       state_cache_(state_cache),
@@ -41,20 +42,20 @@
 }
 
 void InstanceInventory::ListIfDue() {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   if (listing_ || now < next_list_ || !cloud_.Take(now, 1)) return;
   listing_ = Listing{{}, now};
   FetchPage("");
 }
 
 void InstanceInventory::FetchPage(std::string after) {
-  out_.CallCloud(
+  outbox_.CallCloud(
       ListMachines{std::move(after)}, tuning_.cloud_timeout,
       guard_.Wrap([this](const CloudReply& reply) { OnPage(reply); }));
 }
 
 void InstanceInventory::OnPage(const CloudReply& reply) {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   if (reply.status != http_status::kOk) {
     listing_.reset();
     next_list_ = now + kListRetryDelay;
@@ -86,17 +87,17 @@
     instance.status = listed.status;
   }
   if (is_new) instance.created = list_started - listed.age;
-  instance.listed = out_.now().steady;
+  instance.last_listed = outbox_.now().steady;
 }
 
 void InstanceInventory::RemoveMissing(const NameSet& listed) {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   const Duration lag = 2 * deployment_.list_lag + kMissingMargin;
   std::erase_if(instances_, [&](const auto& entry) {
     const auto& [name, instance] = entry;
     // The list may be too old to include a new instance, so an instance is
     // removed only after it has been missing for long.
-    const SteadyTime last_listed = instance.listed.value_or(SteadyTime{});
+    const SteadyTime last_listed = instance.last_listed.value_or(SteadyTime{});
     return !listed.contains(name) && now - instance.created > lag &&
            now - last_listed > lag;
   });
@@ -106,7 +107,7 @@
                                    SteadyTime created) {
   Instance& instance = instances_[name];
   instance.offer = offer;
-  if (!instance.listed) instance.created = created;
+  if (!instance.last_listed) instance.created = created;
 }
 
 void InstanceInventory::RecordUse(const MachineUseTable& use) {
@@ -115,7 +116,7 @@
       instance.has_run_tasks = true;
       instance.idle_since.reset();
     } else if (!instance.idle_since) {
-      instance.idle_since = out_.now().steady;
+      instance.idle_since = outbox_.now().steady;
     }
   }
 }
@@ -130,7 +131,7 @@
     return false;
   }
   const Duration boot = machine_types_.BootTimeOf(instance.offer);
-  const Duration age = out_.now().steady - instance.created;
+  const Duration age = outbox_.now().steady - instance.created;
   return age > kOverdueBootTimes * boot + kOverdueMargin;
 }
 
@@ -147,18 +148,19 @@
   for (const auto& [name, instance] : instances_) {
     if (IsBroken(name, instance)) names.push_back(name);
   }
-  if (names.empty() || !cloud_.Take(out_.now().steady, 1)) return;
+  if (names.empty() || !cloud_.Take(outbox_.now().steady, 1)) return;
   if (names.size() > kMaxDeletedPerCall) names.resize(kMaxDeletedPerCall);
   for (const std::string& name : names) {
     const bool failed = instances_.at(name).status == MachineStatus::kFailed;
-    out_.Log(LogLevel::kInfo, "event=delete machine={} reason={}", name,
-             failed ? "failed" : "boot_overdue");
+    outbox_.Log(LogLevel::kInfo, "event=delete machine={} reason={}", name,
+                failed ? "failed" : "boot_overdue");
   }
-  out_.CallCloud(DeleteMachines{names}, tuning_.cloud_timeout,
-                 guard_.Wrap([this, names](const CloudReply& reply) {
-                   if (reply.status != http_status::kOk) return;
-                   for (const std::string& name : names) instances_.erase(name);
-                 }));
+  outbox_.CallCloud(DeleteMachines{names}, tuning_.cloud_timeout,
+                    guard_.Wrap([this, names](const CloudReply& reply) {
+                      if (reply.status != http_status::kOk) return;
+                      for (const std::string& name : names)
+                        instances_.erase(name);
+                    }));
 }
 
 }  // namespace pitchfall
--- a/src/core/autoscaler/instance_inventory.h
+++ b/src/core/autoscaler/instance_inventory.h
@@ -26,7 +26,7 @@
   MachineStatus status = MachineStatus::kBooting;
   SteadyTime created{};
   // When the instance last appeared in the cloud's list; empty if it never has.
-  std::optional<SteadyTime> listed;
+  std::optional<SteadyTime> last_listed;
   bool has_run_tasks = false;
   // Since when the instance has had no tasks; empty if it has tasks or its use
   // has not been recorded yet.
@@ -41,7 +41,7 @@
 class InstanceInventory {
  public:
   // `cloud` limits the rate of this process's calls to the cloud.
-  InstanceInventory(Outbox& out, const Deployment& deployment,
+  InstanceInventory(Outbox& outbox, const Deployment& deployment,
                     const Tuning& tuning, const StateCache& state_cache,
                     const MachineTypeCatalog& machine_types,
                     TokenBucket& cloud);
@@ -90,7 +90,7 @@
   void RemoveMissing(const NameSet& listed);
   bool IsBroken(const std::string& name, const Instance& instance) const;
 
-  Outbox& out_;
+  Outbox& outbox_;
   const Deployment& deployment_;
   const Tuning& tuning_;
   const StateCache& state_cache_;
--- a/src/core/autoscaler/instance_requests.cc
+++ b/src/core/autoscaler/instance_requests.cc
@@ -35,11 +35,11 @@
 }  // namespace
 
 InstanceRequests::InstanceRequests(
-    Outbox& out, const Deployment& deployment, const Tuning& tuning,
+    Outbox& outbox, const Deployment& deployment, const Tuning& tuning,
     const StateCache& state_cache, const StateLimits& state_limits,
     TokenBucket& cloud, LeaderStateWriter& state_writer,
     InstanceInventory& inventory, uint64_t fencing_token)
-    : out_(out),
+    : outbox_(outbox),
       deployment_(deployment),
       tuning_(tuning),
       state_cache_(state_cache),
@@ -76,7 +76,7 @@
   record.spot = largest->first.spot;
   record.count = std::min(MaxInstancesPerRequest(),
                           static_cast<uint32_t>(largest->second));
-  record.asked = out_.now().wall;
+  record.asked = outbox_.now().wall;
   largest->second -= static_cast<int>(record.count);
   if (largest->second <= 0) wanted.erase(largest);
   return record;
@@ -86,12 +86,13 @@
                                         ScalingReason reason,
                                         const SizingDecision& decision,
                                         Transaction& transaction) {
-  const std::string name = fmt::format("r-{}-{}", fencing_token_, ++created_);
-  out_.Log(LogLevel::kInfo,
-           "event=scale_out name={} type={} zone={} spot={} count={} "
-           "target={} have={} reason={}",
-           name, record.type, record.zone, record.spot, record.count,
-           decision.target, decision.count, ToString(reason));
+  const std::string name =
+      fmt::format("r-{}-{}", fencing_token_, ++created_count_);
+  outbox_.Log(LogLevel::kInfo,
+              "event=scale_out name={} type={} zone={} spot={} count={} "
+              "target={} have={} reason={}",
+              name, record.type, record.zone, record.spot, record.count,
+              decision.target, decision.count, ToString(reason));
   transaction.conditions.push_back({keys::InstanceRequest(name), 0});
   transaction.writes.push_back(
       {keys::InstanceRequest(name), std::move(record), 0});
@@ -118,7 +119,8 @@
 
 bool InstanceRequests::RecentlyRefused(const Offer& offer) const {
   auto refused = refused_until_.find(offer);
-  return refused != refused_until_.end() && out_.now().steady < refused->second;
+  return refused != refused_until_.end() &&
+         outbox_.now().steady < refused->second;
 }
 
 void InstanceRequests::Reconcile() {
@@ -126,12 +128,12 @@
     const InstanceRequestRecord& record = stored.value;
     if (record.machines.empty()) {
       if (!MaySend(name)) continue;
-      if (!cloud_.Take(out_.now().steady, 1)) return;
+      if (!cloud_.Take(outbox_.now().steady, 1)) return;
       Send(name, record);
       continue;
     }
     const bool all_listed = AllListed(record);
-    if (all_listed && !state_writer_.writing() &&
+    if (all_listed && !state_writer_.write_pending() &&
         deleting_.insert(name).second) {
       StoreDeletion(name, stored.mod_revision);
     }
@@ -141,7 +143,7 @@
 bool InstanceRequests::MaySend(const std::string& name) const {
   if (sending_.contains(name)) return false;
   auto next = next_send_.find(name);
-  return next == next_send_.end() || out_.now().steady >= next->second;
+  return next == next_send_.end() || outbox_.now().steady >= next->second;
 }
 
 void InstanceRequests::Send(const std::string& name,
@@ -149,23 +151,23 @@
   sending_.insert(name);
   CreateInstances call{name, record.type, record.zone, record.spot,
                        record.count};
-  out_.CallCloud(std::move(call), tuning_.cloud_timeout,
-                 guard_.Wrap([this, name, record](const CloudReply& reply) {
-                   OnAnswer(name, record, reply);
-                 }));
+  outbox_.CallCloud(std::move(call), tuning_.cloud_timeout,
+                    guard_.Wrap([this, name, record](const CloudReply& reply) {
+                      OnAnswer(name, record, reply);
+                    }));
 }
 
 void InstanceRequests::OnAnswer(const std::string& name,
                                 const InstanceRequestRecord& record,
                                 const CloudReply& reply) {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   sending_.erase(name);
   next_send_[name] = now + kSendInterval;
   auto stored = state_cache_.instance_requests().find(name);
   if (stored == state_cache_.instance_requests().end()) return;
-  out_.Log(LogLevel::kInfo,
-           "event=instance_request name={} status={} no_capacity={} got={}",
-           name, reply.status, reply.no_capacity, reply.created.size());
+  outbox_.Log(LogLevel::kInfo,
+              "event=instance_request name={} status={} no_capacity={} got={}",
+              name, reply.status, reply.no_capacity, reply.created.size());
   if (reply.status == http_status::kTooManyRequests) cloud_.Drain(now);
   const bool rejected = IsRejected(reply);
   if (!rejected && reply.status != http_status::kOk)
@@ -188,7 +190,7 @@
   if (!IsRejected(reply)) {
     const Offer offer = OfferOf(record);
     for (const std::string& machine : reply.created) {
-      inventory_.AddCreated(machine, offer, out_.now().steady);
+      inventory_.AddCreated(machine, offer, outbox_.now().steady);
     }
     record.machines = reply.created;
     write.value = std::move(record);
@@ -212,14 +214,14 @@
 // listed: this is how a new leader learns of the instances that an earlier
 // leader requested.
 bool InstanceRequests::AllListed(const InstanceRequestRecord& record) {
-  const Duration age = out_.now().wall - record.asked;
+  const Duration age = outbox_.now().wall - record.asked;
   const bool may_be_unlisted = age < 2 * deployment_.list_lag + kUnlistedMargin;
-  const SteadyTime created = out_.now().steady - std::max(age, Duration(0));
+  const SteadyTime created = outbox_.now().steady - std::max(age, Duration(0));
   bool all_listed = true;
   for (const std::string& machine : record.machines) {
     const Instance* instance = inventory_.Find(machine);
     if (instance != nullptr) {
-      if (!instance->listed) all_listed = false;
+      if (!instance->last_listed) all_listed = false;
     } else if (may_be_unlisted) {
       inventory_.AddCreated(machine, OfferOf(record), created);
       all_listed = false;
--- a/src/core/autoscaler/instance_requests.h
+++ b/src/core/autoscaler/instance_requests.h
@@ -37,7 +37,7 @@
  public:
   // `cloud` limits the rate of this process's calls to the cloud.
   // `fencing_token` makes the names of this leader's requests unique.
-  InstanceRequests(Outbox& out, const Deployment& deployment,
+  InstanceRequests(Outbox& outbox, const Deployment& deployment,
                    const Tuning& tuning, const StateCache& state_cache,
                    const StateLimits& state_limits, TokenBucket& cloud,
                    LeaderStateWriter& state_writer,
@@ -78,7 +78,7 @@
   void StoreDeletion(const std::string& name, uint64_t mod_revision);
   bool AllListed(const InstanceRequestRecord& record);
 
-  Outbox& out_;
+  Outbox& outbox_;
   const Deployment& deployment_;
   const Tuning& tuning_;
   const StateCache& state_cache_;
@@ -87,7 +87,8 @@
   LeaderStateWriter& state_writer_;
   InstanceInventory& inventory_;
   const uint64_t fencing_token_;
-  uint32_t created_ = 0;  // number of requests that this leader has created
+  // The number of requests that this leader has created.
+  uint32_t created_count_ = 0;
   // The following three are keyed by the name of the request.
   std::set<std::string> sending_;                // calls in progress
   std::map<std::string, SteadyTime> next_send_;  // earliest time of a retry
--- a/src/core/autoscaler/leader_state_writer.cc
+++ b/src/core/autoscaler/leader_state_writer.cc
@@ -6,11 +6,11 @@
 
 namespace pitchfall {
 
-LeaderStateWriter::LeaderStateWriter(Outbox& out, const Tuning& tuning,
+LeaderStateWriter::LeaderStateWriter(Outbox& outbox, const Tuning& tuning,
                                      TokenBucket& requests, TokenBucket& writes,
                                      StateWatcher& state_watcher,
                                      uint64_t fencing_token)
-    : out_(out),
+    : outbox_(outbox),
       tuning_(tuning),
       requests_(requests),
       writes_(writes),
@@ -19,23 +19,24 @@
 
 void LeaderStateWriter::Write(Transaction transaction,
                               Outbox::StateHandler on_reply) {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   // The leader sends few transactions and must not delay them, so it takes
   // tokens on credit; the other writers of this process wait until the buckets
   // have refilled.
   writes_.TakeOnCredit(now, static_cast<double>(transaction.writes.size()));
   requests_.TakeOnCredit(now, 1);
   transaction.conditions.push_back({keys::Partition(0), fencing_token_});
-  writing_ = true;
-  out_.CallState(std::move(transaction), tuning_.state_timeout,
-                 guard_.Wrap([this, on_reply = std::move(on_reply)](
-                                 const StateReply& reply) {
-                   on_reply(reply);
-                   // The write may have been applied even if the reply is a
-                   // failure or a timeout; only a later read shows the outcome.
-                   state_watcher_.AfterNextRead(
-                       guard_.Wrap([this](bool) { writing_ = false; }));
-                 }));
+  write_pending_ = true;
+  outbox_.CallState(std::move(transaction), tuning_.state_timeout,
+                    guard_.Wrap([this, on_reply = std::move(on_reply)](
+                                    const StateReply& reply) {
+                      on_reply(reply);
+                      // The write may have been applied even if the reply is a
+                      // failure or a timeout; only a later read shows the
+                      // outcome.
+                      state_watcher_.AfterNextRead(guard_.Wrap(
+                          [this](bool) { write_pending_ = false; }));
+                    }));
 }
 
 }  // namespace pitchfall
--- a/src/core/autoscaler/leader_state_writer.h
+++ b/src/core/autoscaler/leader_state_writer.h
@@ -18,7 +18,7 @@
  public:
   // `requests` and `writes` limit the rates of this process's calls and writes
   // to the state service. `fencing_token` is that of partition 0.
-  LeaderStateWriter(Outbox& out, const Tuning& tuning, TokenBucket& requests,
+  LeaderStateWriter(Outbox& outbox, const Tuning& tuning, TokenBucket& requests,
                     TokenBucket& writes, StateWatcher& state_watcher,
                     uint64_t fencing_token);
 
@@ -32,16 +32,16 @@
   // transaction has no reply yet, or no read of the state service that started
   // after the reply has ended. A failed read counts as ended. Decisions made in
   // the meantime could repeat what the transaction did.
-  bool writing() const { return writing_; }
+  bool write_pending() const { return write_pending_; }
 
  private:
-  Outbox& out_;
+  Outbox& outbox_;
   const Tuning& tuning_;
   TokenBucket& requests_;
   TokenBucket& writes_;
   StateWatcher& state_watcher_;
   const uint64_t fencing_token_;
-  bool writing_ = false;
+  bool write_pending_ = false;
   LifetimeGuard guard_;
 };
 
--- a/src/core/autoscaler/machine_type_catalog.cc
+++ b/src/core/autoscaler/machine_type_catalog.cc
@@ -20,37 +20,37 @@
 
 }  // namespace
 
-MachineTypeCatalog::MachineTypeCatalog(Outbox& out, const Tuning& tuning,
+MachineTypeCatalog::MachineTypeCatalog(Outbox& outbox, const Tuning& tuning,
                                        const StateCache& state_cache,
                                        TokenBucket& cloud,
                                        LeaderStateWriter& state_writer)
-    : out_(out),
+    : outbox_(outbox),
       tuning_(tuning),
       state_cache_(state_cache),
       cloud_(cloud),
       state_writer_(state_writer) {}
 
 void MachineTypeCatalog::FetchIfDue() {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   if (fetching_ || now < next_fetch_) return;
   if (!cloud_.Take(now, 1)) return;
   fetching_ = true;
-  out_.CallCloud(GetTypes{}, tuning_.cloud_timeout,
-                 guard_.Wrap([this](const CloudReply& reply) {
-                   fetching_ = false;
-                   const bool ok =
-                       reply.status == http_status::kOk && !reply.types.empty();
-                   const Duration delay = ok ? kFetchInterval : kRetryDelay;
-                   next_fetch_ = out_.now().steady + delay;
-                   if (ok) Store({reply.types});
-                 }));
+  outbox_.CallCloud(GetTypes{}, tuning_.cloud_timeout,
+                    guard_.Wrap([this](const CloudReply& reply) {
+                      fetching_ = false;
+                      const bool ok = reply.status == http_status::kOk &&
+                                      !reply.types.empty();
+                      const Duration delay = ok ? kFetchInterval : kRetryDelay;
+                      next_fetch_ = outbox_.now().steady + delay;
+                      if (ok) Store({reply.types});
+                    }));
 }
 
 void MachineTypeCatalog::Store(TypesRecord types) {
   const auto& stored = state_cache_.types();
   if (stored && stored->value.types == types.types) return;
-  if (state_writer_.writing()) {
-    next_fetch_ = out_.now().steady + kRetryDelay;
+  if (state_writer_.write_pending()) {
+    next_fetch_ = outbox_.now().steady + kRetryDelay;
     return;
   }
   Transaction transaction;
@@ -59,7 +59,7 @@
   transaction.writes.push_back({keys::kTypes, std::move(types), 0});
   state_writer_.Write(std::move(transaction), [this](const StateReply& reply) {
     if (reply.status != http_status::kOk)
-      next_fetch_ = out_.now().steady + kRetryDelay;
+      next_fetch_ = outbox_.now().steady + kRetryDelay;
   });
 }
 
--- a/src/core/autoscaler/machine_type_catalog.h
+++ b/src/core/autoscaler/machine_type_catalog.h
@@ -22,7 +22,7 @@
 class MachineTypeCatalog {
  public:
   // `cloud` limits the rate of this process's calls to the cloud.
-  MachineTypeCatalog(Outbox& out, const Tuning& tuning,
+  MachineTypeCatalog(Outbox& outbox, const Tuning& tuning,
                      const StateCache& state_cache, TokenBucket& cloud,
                      LeaderStateWriter& state_writer);
 
@@ -60,7 +60,7 @@
     return state_cache_.types()->value.types;
   }
 
-  Outbox& out_;
+  Outbox& outbox_;
   const Tuning& tuning_;
   const StateCache& state_cache_;
   TokenBucket& cloud_;
--- a/src/core/autoscaler/scale_in.cc
+++ b/src/core/autoscaler/scale_in.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void KeepWithin(std::vector<std::string>& names, size_t bytes) {
+void TruncateToFit(std::vector<std::string>& names, size_t bytes) {
   size_t used = kDrainRecordBytes;
   auto end = std::find_if(names.begin(), names.end(), [&](const auto& name) {
     used += name.size() + kNameOverheadBytes;
@@ -29,12 +29,12 @@
   names.erase(end, names.end());
 }
 
-ScaleIn::ScaleIn(Outbox& out, const Tuning& tuning,
+ScaleIn::ScaleIn(Outbox& outbox, const Tuning& tuning,
                  const StateCache& state_cache, const StateLimits& state_limits,
                  const MachineTypeCatalog& machine_types,
                  const InstanceInventory& inventory,
                  LeaderStateWriter& state_writer)
-    : out_(out),
+    : outbox_(outbox),
       tuning_(tuning),
       state_cache_(state_cache),
       state_limits_(state_limits),
@@ -44,14 +44,14 @@
 
 bool ScaleIn::CordonSurplus(const Surplus& surplus, const MachineUseTable& use,
                             const SizingDecision& decision) {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   if (!surplus_since_) surplus_since_ = now;
   if (now - *surplus_since_ < tuning_.idle_before_return) return false;
   std::vector<std::string> machines =
       Choose(RankCandidates(use), surplus, DrainingReplicas(use));
   if (machines.empty()) return false;
-  out_.Log(LogLevel::kInfo, "event=scale_in machines={} target={} have={}",
-           machines.size(), decision.target, decision.count);
+  outbox_.Log(LogLevel::kInfo, "event=scale_in machines={} target={} have={}",
+              machines.size(), decision.target, decision.count);
   if (const auto& stored = state_cache_.drain()) {
     const std::vector<std::string>& cordoned = stored->value.machines;
     machines.insert(machines.begin(), cordoned.begin(), cordoned.end());
@@ -63,7 +63,7 @@
 // Orders candidates for removal: empty machines first, the most expensive of
 // them first; then machines with tasks, by load per price; machines with
 // service replicas last, by their number.
-bool ScaleIn::GoesBefore(const Candidate& left, const Candidate& right) {
+bool ScaleIn::IsRemovedBefore(const Candidate& left, const Candidate& right) {
   return std::tie(left.replicas, left.load_per_price, right.price,
                   left.machine) < std::tie(right.replicas, right.load_per_price,
                                            left.price, right.machine);
@@ -74,7 +74,7 @@
   if (state_cache_.Draining(name)) return false;
   if (instance.status != MachineStatus::kRunning) return false;
   if (!empty) return true;
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   const Duration idle = now - instance.idle_since.value_or(now);
   return now - instance.created >= kMinimumCharge &&
          idle >= tuning_.idle_before_return;
@@ -97,7 +97,7 @@
     candidate.load_per_price = load / candidate.price;
     candidates.push_back(std::move(candidate));
   }
-  std::sort(candidates.begin(), candidates.end(), GoesBefore);
+  std::sort(candidates.begin(), candidates.end(), IsRemovedBefore);
   return candidates;
 }
 
@@ -112,8 +112,8 @@
       break;
     }
     if (!candidate.spot) {
-      if (surplus.ordinary <= 0) continue;
-      --surplus.ordinary;
+      if (surplus.on_demand <= 0) continue;
+      --surplus.on_demand;
     }
     chosen.push_back(candidate.machine);
   }
@@ -158,7 +158,7 @@
     return inventory_.Find(name) == nullptr;
   });
   // Machines that do not fit into one value are cordoned by a later decision.
-  KeepWithin(machines, state_limits_.ValueBytes());
+  TruncateToFit(machines, state_limits_.ValueBytes());
   Transaction transaction;
   transaction.conditions.push_back(
       {keys::kDrain, stored ? stored->mod_revision : 0});
--- a/src/core/autoscaler/scale_in.h
+++ b/src/core/autoscaler/scale_in.h
@@ -22,14 +22,14 @@
 
 // Removes names from the end until the drain record that lists them takes at
 // most `bytes` bytes as JSON.
-void KeepWithin(std::vector<std::string>& names, size_t bytes);
+void TruncateToFit(std::vector<std::string>& names, size_t bytes);
 
 // How many machines may be removed.
 struct Surplus {
   int machines = 0;
   // How many of these may be on-demand instances. This preserves the capacity
   // of jobs that must not run on spot instances.
-  int ordinary = 0;
+  int on_demand = 0;
 };
 
 // Cordons machines by storing their names in the drain record. A cordoned
@@ -37,7 +37,7 @@
 // is empty.
 class ScaleIn {
  public:
-  ScaleIn(Outbox& out, const Tuning& tuning, const StateCache& state_cache,
+  ScaleIn(Outbox& outbox, const Tuning& tuning, const StateCache& state_cache,
           const StateLimits& state_limits,
           const MachineTypeCatalog& machine_types,
           const InstanceInventory& inventory, LeaderStateWriter& state_writer);
@@ -67,7 +67,7 @@
     double load_per_price = 0;
   };
 
-  static bool GoesBefore(const Candidate& left, const Candidate& right);
+  static bool IsRemovedBefore(const Candidate& left, const Candidate& right);
   bool MayBeCordoned(const std::string& name, const Instance& instance,
                      bool empty) const;
   std::vector<Candidate> RankCandidates(const MachineUseTable& use) const;
@@ -78,7 +78,7 @@
   bool CanUncordon(const std::string& name) const;
   void Store(std::vector<std::string> machines);
 
-  Outbox& out_;
+  Outbox& outbox_;
   const Tuning& tuning_;
   const StateCache& state_cache_;
   const StateLimits& state_limits_;
--- a/src/core/autoscaler/scale_out.cc
+++ b/src/core/autoscaler/scale_out.cc
@@ -14,8 +14,8 @@
       inventory_(inventory),
       requests_(requests) {}
 
-bool ScaleOut::RequestOrdinary(int count, const SizingDecision& decision) {
-  return RequestSpread(count, CheapestOffers(false), ScalingReason::kOrdinary,
+bool ScaleOut::RequestOnDemand(int count, const SizingDecision& decision) {
+  return RequestSpread(count, CheapestOffers(false), ScalingReason::kOnDemand,
                        decision);
 }
 
@@ -92,7 +92,7 @@
 
 const Job* ScaleOut::FindUnservedJob(const Demand& demand,
                                      const MachineUseTable& use) const {
-  const std::set<Offer> kinds = KindsAtHand();
+  const std::set<Offer> kinds = ExistingOrRequestedOffers();
   for (const Job* job : demand.waiting_jobs) {
     const std::set<std::string> zones = machine_types_.OpenZones(*job);
     const bool served = std::ranges::any_of(kinds, [&](const Offer& offer) {
@@ -107,7 +107,7 @@
 
 // Returns the offers of which there is an instance that has not failed and is
 // not draining, or a stored request.
-std::set<Offer> ScaleOut::KindsAtHand() const {
+std::set<Offer> ScaleOut::ExistingOrRequestedOffers() const {
   std::set<Offer> kinds;
   for (const auto& [name, instance] : inventory_.instances()) {
     if (state_cache_.Draining(name)) continue;
@@ -141,16 +141,16 @@
     return instance.status != MachineStatus::kFailed &&
            CanRunMore(job, zones, instance.offer) &&
            !state_cache_.Draining(name) &&
-           FitsBesideMoreImportant(job.spec(), name, instance, use);
+           FitsWithPreemption(job.spec(), name, instance, use);
   });
 }
 
 // Whether a task fits on the machine beside the tasks of equal or higher
 // priority. Tasks of lower priority can be preempted.
-bool ScaleOut::FitsBesideMoreImportant(const JobSpec& spec,
-                                       const std::string& machine,
-                                       const Instance& instance,
-                                       const MachineUseTable& use) const {
+bool ScaleOut::FitsWithPreemption(const JobSpec& spec,
+                                  const std::string& machine,
+                                  const Instance& instance,
+                                  const MachineUseTable& use) const {
   Resources free = state_cache_.FindType(instance.offer.type)->capacity;
   auto used = use.find(machine);
   if (used != use.end()) {
--- a/src/core/autoscaler/scale_out.h
+++ b/src/core/autoscaler/scale_out.h
@@ -30,7 +30,7 @@
            const InstanceInventory& inventory, InstanceRequests& requests);
 
   // Requests `count` (at least 1) of the cheapest on-demand instances.
-  bool RequestOrdinary(int count, const SizingDecision& decision);
+  bool RequestOnDemand(int count, const SizingDecision& decision);
   // Requests `count` (at least 1) of the cheapest instances. Spot instances are
   // excluded if all requested CPUs are for jobs that must not run on them.
   bool RequestCheapest(int count, const Demand& demand,
@@ -50,13 +50,13 @@
                      const SizingDecision& decision);
   OfferCounts CheapestOffers(bool spot_allowed) const;
   OfferCounts CountByOffer() const;
-  std::set<Offer> KindsAtHand() const;
+  std::set<Offer> ExistingOrRequestedOffers() const;
   bool CanRunMore(const Job& job, const std::set<std::string>& zones,
                   const Offer& offer) const;
   bool HasCapacityForReplica(const Job& job, const MachineUseTable& use) const;
-  bool FitsBesideMoreImportant(const JobSpec& spec, const std::string& machine,
-                               const Instance& instance,
-                               const MachineUseTable& use) const;
+  bool FitsWithPreemption(const JobSpec& spec, const std::string& machine,
+                          const Instance& instance,
+                          const MachineUseTable& use) const;
 
   const StateCache& state_cache_;
   const MachineTypeCatalog& machine_types_;
--- a/src/core/autoscaler/sizing/forecast.cc
+++ b/src/core/autoscaler/sizing/forecast.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Lags of the long autoregression that estimates the errors.
-constexpr int kLongLags = 3;
+constexpr int kLongAutoregressionLags = 3;
 // A series is constant if its range is at most this fraction of its largest
 // value (or of 1, if that is larger).
 constexpr double kConstantTolerance = 1e-9;
@@ -23,23 +23,24 @@
   return d;
 }
 
-// Returns the residuals of an autoregression with kLongLags lags; 0 for the
-// first kLongLags entries.
-std::vector<double> LongErrors(const std::vector<double>& d) {
+// Returns the residuals of an autoregression with kLongAutoregressionLags lags;
+// 0 for the first kLongAutoregressionLags entries.
+std::vector<double> LongAutoregressionResiduals(const std::vector<double>& d) {
   const int n = static_cast<int>(d.size());
-  Eigen::MatrixXd x(n - kLongLags, kLongLags + 1);
-  Eigen::VectorXd y(n - kLongLags);
-  for (int k = kLongLags; k < n; ++k) {
-    x(k - kLongLags, 0) = 1;
-    for (int lag = 1; lag <= kLongLags; ++lag) {
-      x(k - kLongLags, lag) = d[static_cast<size_t>(k - lag)];
+  Eigen::MatrixXd x(n - kLongAutoregressionLags, kLongAutoregressionLags + 1);
+  Eigen::VectorXd y(n - kLongAutoregressionLags);
+  for (int k = kLongAutoregressionLags; k < n; ++k) {
+    x(k - kLongAutoregressionLags, 0) = 1;
+    for (int lag = 1; lag <= kLongAutoregressionLags; ++lag) {
+      x(k - kLongAutoregressionLags, lag) = d[static_cast<size_t>(k - lag)];
     }
-    y(k - kLongLags) = d[static_cast<size_t>(k)];
+    y(k - kLongAutoregressionLags) = d[static_cast<size_t>(k)];
   }
   Eigen::VectorXd fitted = x * x.colPivHouseholderQr().solve(y);
   std::vector<double> errors(d.size(), 0.0);
-  for (int k = kLongLags; k < n; ++k) {
-    errors[static_cast<size_t>(k)] = y(k - kLongLags) - fitted(k - kLongLags);
+  for (int k = kLongAutoregressionLags; k < n; ++k) {
+    errors[static_cast<size_t>(k)] =
+        y(k - kLongAutoregressionLags) - fitted(k - kLongAutoregressionLags);
   }
   return errors;
 }
@@ -54,8 +55,8 @@
     return fit;
 
   std::vector<double> d = Differences(series);
-  std::vector<double> errors = LongErrors(d);
-  const int first = kLongLags + 1;
+  std::vector<double> errors = LongAutoregressionResiduals(d);
+  const int first = kLongAutoregressionLags + 1;
   const int n = static_cast<int>(d.size());
   Eigen::MatrixXd x(n - first, 4);
   Eigen::VectorXd y(n - first);
--- a/src/core/autoscaler/sizing/forecast.h
+++ b/src/core/autoscaler/sizing/forecast.h
@@ -1,5 +1,5 @@
-// The forecast of requested capacity: an ARIMA(2,1,1) model that is fitted
-// again for each forecast.
+// The forecast of requested capacity: an ARIMA(2,1,1) model, fitted again for
+// each forecast to a sliding window of recent periods.
 #ifndef PITCHFALL_CORE_AUTOSCALER_SIZING_FORECAST_H_
 #define PITCHFALL_CORE_AUTOSCALER_SIZING_FORECAST_H_
 
--- a/src/core/autoscaler/sizing/target.cc
+++ b/src/core/autoscaler/sizing/target.cc
@@ -20,7 +20,7 @@
 constexpr double kTargetTolerance = 1e-9;
 
 // Returns U / (1 - U), the variable in which the delay curve is linear.
-double Load(double utilisation) {
+double LoadRatio(double utilisation) {
   double u = std::clamp(utilisation, 0.0, kMaxUtilisation);
   return u / (1 - u);
 }
@@ -28,7 +28,7 @@
 }  // namespace
 
 double DelayCurve::At(double utilisation) const {
-  return slope * Load(utilisation) + base;
+  return slope * LoadRatio(utilisation) + base;
 }
 
 DelayCurve FitDelay(std::span<const DelayPoint> points, DelayCurve fallback) {
@@ -37,13 +37,13 @@
   double mean_x = 0;
   double mean_y = 0;
   for (const DelayPoint& p : points) {
-    mean_x += Load(p.utilisation) / n;
+    mean_x += LoadRatio(p.utilisation) / n;
     mean_y += p.delay / n;
   }
   double sxx = 0;
   double sxy = 0;
   for (const DelayPoint& p : points) {
-    double x = Load(p.utilisation) - mean_x;
+    double x = LoadRatio(p.utilisation) - mean_x;
     sxx += x * x;
     sxy += x * (p.delay - mean_y);
   }
@@ -54,17 +54,20 @@
   return curve;
 }
 
-int Target(const TargetInputs& in) {
-  if (in.capacity <= 0) return 0;
-  double delay_cost =
-      in.waiting * in.delay_price * in.curve.slope * in.capacity;
-  double target = in.capacity + std::sqrt(std::max(0.0, delay_cost / in.rent));
+int TargetMachineCount(const TargetInputs& inputs) {
+  if (inputs.capacity <= 0) return 0;
+  double delay_cost = inputs.waiting * inputs.delay_price * inputs.curve.slope *
+                      inputs.capacity;
+  double target = inputs.capacity +
+                  std::sqrt(std::max(0.0, delay_cost / inputs.machine_cost));
   // The fitted delay meets the bound at U = (bound - b) / (a + bound - b).
-  double spare = in.delay_bound - in.curve.base;
-  double utilisation = std::max(
-      in.least_utilisation, spare <= 0 ? 0 : spare / (in.curve.slope + spare));
-  target = std::min({target, in.capacity / utilisation,
-                     in.capacity + in.max_spare * std::sqrt(in.capacity)});
+  double spare = inputs.delay_bound - inputs.curve.base;
+  double utilisation =
+      std::max(inputs.min_utilisation,
+               spare <= 0 ? 0 : spare / (inputs.curve.slope + spare));
+  target = std::min(
+      {target, inputs.capacity / utilisation,
+       inputs.capacity + inputs.max_spare_factor * std::sqrt(inputs.capacity)});
   return static_cast<int>(std::ceil(target - kTargetTolerance));
 }
 
--- a/src/core/autoscaler/sizing/target.h
+++ b/src/core/autoscaler/sizing/target.h
@@ -36,21 +36,21 @@
   double capacity = 0;      // w
   double waiting = 0;       // N, number of admissible waiting tasks
   double delay_price = 0;   // p
-  double rent = 1;          // c * E
+  double machine_cost = 1;  // c * E
   double delay_bound = 10;  // seconds
   // Limits the target to w divided by this, whatever the fitted curve says:
   // delays that have other causes than load make the fit meaningless.
-  double least_utilisation = 0.8;
+  double min_utilisation = 0.8;
   // Limits the target to w plus this factor (s) times sqrt(w): in a larger
   // cluster a smaller fraction of spare machines is enough for some to be free.
-  double max_spare = 1.1;
+  double max_spare_factor = 1.1;
   DelayCurve curve;
 };
 
 // Returns w + sqrt(N p a w / (c E)), rounded up, where a is the slope of the
 // curve. The result is at most w over the utilisation at which the fitted delay
 // meets the bound, and at most w + s sqrt(w). Returns 0 if w is not positive.
-int Target(const TargetInputs& in);
+int TargetMachineCount(const TargetInputs& inputs);
 
 }  // namespace pitchfall::sizing
 
--- a/src/core/autoscaler/sizing_decision.h
+++ b/src/core/autoscaler/sizing_decision.h
@@ -10,11 +10,11 @@
 // Why the number of machines was changed last.
 enum class ScalingReason : uint8_t {
   kStart,     // this leader has changed nothing yet
-  kOrdinary,  // scaled out for jobs that must not run on spot instances
+  kOnDemand,  // scaled out for jobs that must not run on spot instances
   kTarget,    // scaled out because there were fewer machines than the target
   kUnserved,  // scaled out for a waiting job that no machine had capacity for
   kSurplus,   // scaled in because there were more machines than the target
-  kKeep,      // uncordoned machines because there were fewer than the target
+  kUncordon,  // uncordoned machines because there were fewer than the target
 };
 
 // Returns the name of the reason in the stored sizing record and in the log.
@@ -22,7 +22,7 @@
   switch (reason) {
     case ScalingReason::kStart:
       return "start";
-    case ScalingReason::kOrdinary:
+    case ScalingReason::kOnDemand:
       return "ordinary";
     case ScalingReason::kTarget:
       return "target";
@@ -30,7 +30,7 @@
       return "unserved";
     case ScalingReason::kSurplus:
       return "surplus";
-    case ScalingReason::kKeep:
+    case ScalingReason::kUncordon:
       return "keep";
   }
   return "";
--- a/src/core/autoscaler/sizing_history.cc
+++ b/src/core/autoscaler/sizing_history.cc
@@ -33,12 +33,12 @@
 
 }  // namespace
 
-SizingHistory::SizingHistory(const Outbox& out, const Tuning& tuning,
+SizingHistory::SizingHistory(const Outbox& outbox, const Tuning& tuning,
                              const StateCache& state_cache,
                              const StateLimits& state_limits,
                              const MachineTypeCatalog& machine_types,
                              LeaderStateWriter& state_writer)
-    : out_(out),
+    : outbox_(outbox),
       tuning_(tuning),
       state_cache_(state_cache),
       state_limits_(state_limits),
@@ -48,9 +48,9 @@
 void SizingHistory::RecordPeriod(const SizingDecision& decision,
                                  uint32_t partition_count) {
   LoadStored();
-  const Duration since_epoch = out_.now().wall.time_since_epoch();
+  const Duration since_epoch = outbox_.now().wall.time_since_epoch();
   const auto period = static_cast<uint64_t>(since_epoch / tuning_.period);
-  if (period <= last_period_ || state_writer_.writing()) return;
+  if (period <= last_period_ || state_writer_.write_pending()) return;
   const PeriodLoad load = SumReports(period, partition_count);
   const Duration into_period = since_epoch % tuning_.period;
   const Duration report_wait = tuning_.period / kReportWaitDivisor;
@@ -130,7 +130,8 @@
   sizing::TargetInputs inputs;
   inputs.waiting = demand.waiting;
   inputs.delay_price = tuning_.delay_price;
-  inputs.rent = type.price * ToSeconds(tuning_.period) / kSecondsPerHour;
+  inputs.machine_cost =
+      type.price * ToSeconds(tuning_.period) / kSecondsPerHour;
   inputs.delay_bound = ToSeconds(tuning_.delay_bound);
   inputs.curve = sizing::FitDelay(delays, kDefaultDelayCurve);
 
@@ -138,8 +139,8 @@
   targets.requested_machines = machine_types_.MachinesFor(demand.requested);
   for (double forecast : sizing::Forecast(series, tuning_.horizon)) {
     inputs.capacity = std::max(forecast, targets.requested_machines);
-    targets.by_period.push_back(
-        std::min<double>(sizing::Target(inputs), tuning_.max_machines));
+    targets.by_period.push_back(std::min<double>(
+        sizing::TargetMachineCount(inputs), tuning_.max_machines));
   }
   return targets;
 }
--- a/src/core/autoscaler/sizing_history.h
+++ b/src/core/autoscaler/sizing_history.h
@@ -28,7 +28,7 @@
 // continues the forecast from its predecessor's history.
 class SizingHistory {
  public:
-  SizingHistory(const Outbox& out, const Tuning& tuning,
+  SizingHistory(const Outbox& outbox, const Tuning& tuning,
                 const StateCache& state_cache, const StateLimits& state_limits,
                 const MachineTypeCatalog& machine_types,
                 LeaderStateWriter& state_writer);
@@ -59,7 +59,7 @@
   void AddPoint(const PeriodLoad& load, int machine_count);
   void Store(const SizingDecision& decision);
 
-  const Outbox& out_;
+  const Outbox& outbox_;
   const Tuning& tuning_;
   const StateCache& state_cache_;
   const StateLimits& state_limits_;
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -221,15 +221,15 @@
 TEST_F(LeaderStateWriterTest, IsWritingUntilAReadAfterTheAnswerHasEnded) {
   int status = 0;
   writer_.Write({}, [&](const StateReply& reply) { status = reply.status; });
-  EXPECT_TRUE(writer_.writing());
+  EXPECT_TRUE(writer_.write_pending());
   Collect();
   AnswerState(503);
   EXPECT_EQ(status, 503);
-  EXPECT_TRUE(writer_.writing());
+  EXPECT_TRUE(writer_.write_pending());
   watcher_.Step();
   Collect();
   AnswerState(200);
-  EXPECT_FALSE(writer_.writing());
+  EXPECT_FALSE(writer_.write_pending());
 }
 
 // ---- Machine types ----
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -399,13 +399,13 @@
     names.push_back("m-" + std::to_string(100000 + i));
   }
   std::vector<std::string> all = names;
-  KeepWithin(names, kValueBytes);
+  TruncateToFit(names, kValueBytes);
   size_t json = std::string("{\"machines\":[]}").size();
   for (const std::string& name : names) json += name.size() + 3;
   EXPECT_LE(json, kValueBytes);
   EXPECT_GT(json, kValueBytes - 100);
   EXPECT_TRUE(std::equal(names.begin(), names.end(), all.begin()));
-  KeepWithin(all, 100000);
+  TruncateToFit(all, 100000);
   EXPECT_EQ(all.size(), 3000u);
 }
 
--- a/tests/sizing_test.cc
+++ b/tests/sizing_test.cc
@@ -17,51 +17,51 @@
   in.capacity = 4;
   in.waiting = 9;
   in.delay_price = 0.5;
-  in.rent = 2;
+  in.machine_cost = 2;
   in.curve = {4, 0};
-  in.least_utilisation = 0;
-  in.max_spare = 100;
+  in.min_utilisation = 0;
+  in.max_spare_factor = 100;
   in.delay_bound = 0.1;  // the cap is far away
   // 4 + sqrt(9 * 0.5 * 4 * 4 / 2) = 4 + 6
-  EXPECT_EQ(Target(in), 10);
+  EXPECT_EQ(TargetMachineCount(in), 10);
   // d(U) = 4 U / (1 - U) = 6 at U = 0.6: at most 4 / 0.6 = 6.67.
   in.delay_bound = 6;
-  EXPECT_EQ(Target(in), 7);
-  in.least_utilisation = 0.8;  // at most 4 / 0.8
-  EXPECT_EQ(Target(in), 5);
-  in.least_utilisation = 0;
-  in.max_spare = 1;  // at most 4 + 2
-  EXPECT_EQ(Target(in), 6);
+  EXPECT_EQ(TargetMachineCount(in), 7);
+  in.min_utilisation = 0.8;  // at most 4 / 0.8
+  EXPECT_EQ(TargetMachineCount(in), 5);
+  in.min_utilisation = 0;
+  in.max_spare_factor = 1;  // at most 4 + 2
+  EXPECT_EQ(TargetMachineCount(in), 6);
   in.waiting = 0;
-  EXPECT_EQ(Target(in), 4);
+  EXPECT_EQ(TargetMachineCount(in), 4);
   in.capacity = 4.2;
-  EXPECT_EQ(Target(in), 5);
+  EXPECT_EQ(TargetMachineCount(in), 5);
   in.capacity = 0;
-  EXPECT_EQ(Target(in), 0);
+  EXPECT_EQ(TargetMachineCount(in), 0);
 }
 
-// The square root is where waiting cost and rent together are least.
+// The square root minimises the sum of the waiting cost and the machine cost.
 TEST(Target, IsTheMinimumOfThePlainCost) {
   TargetInputs in;
   in.capacity = 10;
   in.waiting = 30;
   in.delay_price = 0.2;
-  in.rent = 1.5;
+  in.machine_cost = 1.5;
   in.curve = {3, 1};
-  in.least_utilisation = 0;
-  in.max_spare = 100;
+  in.min_utilisation = 0;
+  in.max_spare_factor = 100;
   in.delay_bound = 1.1;
   double best = 0;
   double best_cost = 1e18;
   for (double x = in.capacity + 0.01; x < 100; x += 0.01) {
     double cost = in.waiting * in.delay_price * in.curve.At(in.capacity / x) +
-                  in.rent * x;
+                  in.machine_cost * x;
     if (cost < best_cost) {
       best_cost = cost;
       best = x;
     }
   }
-  EXPECT_EQ(Target(in), static_cast<int>(std::ceil(best - 0.02)));
+  EXPECT_EQ(TargetMachineCount(in), static_cast<int>(std::ceil(best - 0.02)));
 }
 
 TEST(DelayCurve, IsFoundAgain) {
