--- a/src/core/autoscaler/scale_out.cc
+++ b/src/core/autoscaler/scale_out.cc
@@ -92,10 +92,10 @@
 
 const Job* ScaleOut::FindUnservedJob(const Demand& demand,
                                      const MachineUseTable& use) const {
-  const std::set<Offer> kinds = ExistingOrRequestedOffers();
+  const std::set<Offer> offers = ExistingOrRequestedOffers();
   for (const Job* job : demand.waiting_jobs) {
     const std::set<std::string> zones = machine_types_.OpenZones(*job);
-    const bool served = std::ranges::any_of(kinds, [&](const Offer& offer) {
+    const bool served = std::ranges::any_of(offers, [&](const Offer& offer) {
       return CanRunMore(*job, zones, offer);
     });
     if (!served) return job;
@@ -108,15 +108,16 @@
 // Returns the offers of which there is an instance that has not failed and is
 // not draining, or a stored request.
 std::set<Offer> ScaleOut::ExistingOrRequestedOffers() const {
-  std::set<Offer> kinds;
+  std::set<Offer> offers;
   for (const auto& [name, instance] : inventory_.instances()) {
     if (state_cache_.Draining(name)) continue;
-    if (instance.status != MachineStatus::kFailed) kinds.insert(instance.offer);
+    if (instance.status != MachineStatus::kFailed)
+      offers.insert(instance.offer);
   }
   for (const auto& [name, stored] : state_cache_.instance_requests()) {
-    kinds.insert(OfferOf(stored.value));
+    offers.insert(OfferOf(stored.value));
   }
-  return kinds;
+  return offers;
 }
 
 // Whether an instance of this offer can run another task of the job. `zones`
