--- a/src/core/autoscaler/instance_inventory.cc
+++ b/src/core/autoscaler/instance_inventory.cc
@@ -11,24 +11,25 @@
 
 constexpr Duration kListInterval = Millis(5000);
 constexpr Duration kListRetryDelay = Millis(2000);
-// An instance counts as gone when the list has lacked it for twice the time by
-// which the list may lag behind, and this.
+// An instance that is missing from the list is removed from the inventory after
+// twice the list's maximum lag plus this margin.
 constexpr Duration kMissingMargin = Millis(5000);
-// An instance is overdue after its type's boot time this many times, and the
-// margin, so that a slow boot is not taken for a failed one.
+// The boot of an instance is overdue after this many times the boot time of its
+// type, plus the margin, so that a slow boot is not mistaken for a failed one.
 constexpr int kOverdueBootTimes = 3;
 constexpr Duration kOverdueMargin = Millis(10000);
-// Names in one call that deletes instances.
+// The largest number of instances that one call deletes.
 constexpr size_t kMaxDeletedPerCall = 100;
 
 }  // namespace
 
-InstanceInventory::InstanceInventory(Outbox& out, const Deployment& deployment,
+InstanceInventory::InstanceInventory(Outbox& outbox,
+                                     const Deployment& deployment,
                                      const Tuning& tuning,
                                      const StateCache& state_cache,
                                      const MachineTypeCatalog& machine_types,
                                      TokenBucket& cloud)
-    : out_(out),
+    : outbox_(outbox),
       deployment_(deployment),
       tuning_(tuning),
       state_cache_(state_cache),
@@ -41,20 +42,20 @@
 }
 
 void InstanceInventory::ListIfDue() {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   if (listing_ || now < next_list_ || !cloud_.Take(now, 1)) return;
   listing_ = Listing{{}, now};
   FetchPage("");
 }
 
 void InstanceInventory::FetchPage(std::string after) {
-  out_.CallCloud(
+  outbox_.CallCloud(
       ListMachines{std::move(after)}, tuning_.cloud_timeout,
       guard_.Wrap([this](const CloudReply& reply) { OnPage(reply); }));
 }
 
 void InstanceInventory::OnPage(const CloudReply& reply) {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   if (reply.status != http_status::kOk) {
     listing_.reset();
     next_list_ = now + kListRetryDelay;
@@ -79,24 +80,24 @@
   auto [entry, is_new] = instances_.try_emplace(listed.name);
   Instance& instance = entry->second;
   instance.offer = {listed.type, listed.zone, listed.spot};
-  // A list may be older than the one before: an instance that ran does not
-  // boot again.
+  // A list may show an older state than the one before it. An instance that was
+  // running does not return to booting, so only a failure replaces that status.
   if (is_new || instance.status == MachineStatus::kBooting ||
       listed.status == MachineStatus::kFailed) {
     instance.status = listed.status;
   }
   if (is_new) instance.created = list_started - listed.age;
-  instance.listed = out_.now().steady;
+  instance.last_listed = outbox_.now().steady;
 }
 
 void InstanceInventory::RemoveMissing(const NameSet& listed) {
-  const SteadyTime now = out_.now().steady;
+  const SteadyTime now = outbox_.now().steady;
   const Duration lag = 2 * deployment_.list_lag + kMissingMargin;
   std::erase_if(instances_, [&](const auto& entry) {
     const auto& [name, instance] = entry;
-    // An instance may be too new for the list, or the list old: only a long
-    // absence counts.
-    const SteadyTime last_listed = instance.listed.value_or(SteadyTime{});
+    // The list may be too old to include a new instance, so an instance is
+    // removed only after it has been missing for long.
+    const SteadyTime last_listed = instance.last_listed.value_or(SteadyTime{});
     return !listed.contains(name) && now - instance.created > lag &&
            now - last_listed > lag;
   });
@@ -106,7 +107,7 @@
                                    SteadyTime created) {
   Instance& instance = instances_[name];
   instance.offer = offer;
-  if (!instance.listed) instance.created = created;
+  if (!instance.last_listed) instance.created = created;
 }
 
 void InstanceInventory::RecordUse(const MachineUseTable& use) {
@@ -115,7 +116,7 @@
       instance.has_run_tasks = true;
       instance.idle_since.reset();
     } else if (!instance.idle_since) {
-      instance.idle_since = out_.now().steady;
+      instance.idle_since = outbox_.now().steady;
     }
   }
 }
@@ -124,12 +125,13 @@
                                  const Instance& instance) const {
   if (state_cache_.Draining(name)) return false;
   if (instance.status == MachineStatus::kFailed) return true;
-  // The list may lag behind: an instance that has run tasks has booted.
+  // The list lags behind and may show a machine as booting that already runs
+  // tasks; such a machine has booted.
   if (instance.status != MachineStatus::kBooting || instance.has_run_tasks) {
     return false;
   }
   const Duration boot = machine_types_.BootTimeOf(instance.offer);
-  const Duration age = out_.now().steady - instance.created;
+  const Duration age = outbox_.now().steady - instance.created;
   return age > kOverdueBootTimes * boot + kOverdueMargin;
 }
 
@@ -146,18 +148,19 @@
   for (const auto& [name, instance] : instances_) {
     if (IsBroken(name, instance)) names.push_back(name);
   }
-  if (names.empty() || !cloud_.Take(out_.now().steady, 1)) return;
+  if (names.empty() || !cloud_.Take(outbox_.now().steady, 1)) return;
   if (names.size() > kMaxDeletedPerCall) names.resize(kMaxDeletedPerCall);
   for (const std::string& name : names) {
     const bool failed = instances_.at(name).status == MachineStatus::kFailed;
-    out_.Log(LogLevel::kInfo, "event=delete machine={} reason={}", name,
-             failed ? "failed" : "boot_overdue");
+    outbox_.Log(LogLevel::kInfo, "event=delete machine={} reason={}", name,
+                failed ? "failed" : "boot_overdue");
   }
-  out_.CallCloud(DeleteMachines{names}, tuning_.cloud_timeout,
-                 guard_.Wrap([this, names](const CloudReply& reply) {
-                   if (reply.status != http_status::kOk) return;
-                   for (const std::string& name : names) instances_.erase(name);
-                 }));
+  outbox_.CallCloud(DeleteMachines{names}, tuning_.cloud_timeout,
+                    guard_.Wrap([this, names](const CloudReply& reply) {
+                      if (reply.status != http_status::kOk) return;
+                      for (const std::string& name : names)
+                        instances_.erase(name);
+                    }));
 }
 
 }  // namespace pitchfall
--- a/src/core/autoscaler/scale_out.cc
+++ b/src/core/autoscaler/scale_out.cc
@@ -14,8 +14,8 @@
       inventory_(inventory),
       requests_(requests) {}
 
-bool ScaleOut::RequestOrdinary(int count, const SizingDecision& decision) {
-  return RequestSpread(count, CheapestOffers(false), ScalingReason::kOrdinary,
+bool ScaleOut::RequestOnDemand(int count, const SizingDecision& decision) {
+  return RequestSpread(count, CheapestOffers(false), ScalingReason::kOnDemand,
                        decision);
 }
 
@@ -38,8 +38,10 @@
   return false;
 }
 
-// Offers at the same price, which differ by zone, each get their share: jobs
-// may have to be spread over zones, and a zone may lose its machines.
+// Spreads the requested instances over the `available` offers, so that the
+// numbers of instances of each become as equal as possible. Such offers have
+// the same price and usually differ by zone: jobs may have to be spread over
+// zones, and a zone may lose its machines.
 bool ScaleOut::RequestSpread(int count, OfferCounts available,
                              ScalingReason reason,
                              const SizingDecision& decision) {
@@ -58,8 +60,8 @@
   return true;
 }
 
-// The offers at the lowest price that have not been refused lately, each with
-// the count 0.
+// Returns the offers at the lowest price among those that were not refused
+// recently, each with a count of 0.
 OfferCounts ScaleOut::CheapestOffers(bool spot_allowed) const {
   OfferCounts cheapest;
   for (const Offer& offer : machine_types_.OffersByPrice()) {
@@ -75,7 +77,8 @@
   return cheapest;
 }
 
-// Machines that are not draining and pending instances of each kind.
+// Returns the number of instances of each offer: those that are not draining
+// and pending ones.
 OfferCounts ScaleOut::CountByOffer() const {
   OfferCounts counts;
   for (const auto& [name, instance] : inventory_.instances()) {
@@ -89,10 +92,10 @@
 
 const Job* ScaleOut::FindUnservedJob(const Demand& demand,
                                      const MachineUseTable& use) const {
-  const std::set<Offer> kinds = KindsAtHand();
+  const std::set<Offer> offers = ExistingOrRequestedOffers();
   for (const Job* job : demand.waiting_jobs) {
     const std::set<std::string> zones = machine_types_.OpenZones(*job);
-    const bool served = std::ranges::any_of(kinds, [&](const Offer& offer) {
+    const bool served = std::ranges::any_of(offers, [&](const Offer& offer) {
       return CanRunMore(*job, zones, offer);
     });
     if (!served) return job;
@@ -102,29 +105,32 @@
   return nullptr;
 }
 
-// Kinds of which there is a machine, or a request that is not deleted yet.
-std::set<Offer> ScaleOut::KindsAtHand() const {
-  std::set<Offer> kinds;
+// Returns the offers of which there is an instance that has not failed and is
+// not draining, or a stored request.
+std::set<Offer> ScaleOut::ExistingOrRequestedOffers() const {
+  std::set<Offer> offers;
   for (const auto& [name, instance] : inventory_.instances()) {
     if (state_cache_.Draining(name)) continue;
-    if (instance.status != MachineStatus::kFailed) kinds.insert(instance.offer);
+    if (instance.status != MachineStatus::kFailed)
+      offers.insert(instance.offer);
   }
   for (const auto& [name, stored] : state_cache_.instance_requests()) {
-    kinds.insert(OfferOf(stored.value));
+    offers.insert(OfferOf(stored.value));
   }
-  return kinds;
+  return offers;
 }
 
-// Whether another task of the job can run on this kind, given the zones that
-// its rules leave open.
+// Whether an instance of this offer can run another task of the job. `zones`
+// are the zones that the job's spread constraint allows.
 bool ScaleOut::CanRunMore(const Job& job, const std::set<std::string>& zones,
                           const Offer& offer) const {
   return zones.contains(offer.zone) && machine_types_.CanRun(job.spec(), offer);
 }
 
-// Whether a machine, or a pending one, has or can make capacity for one more
-// replica of the job. The sum of what is requested does not tell: capacity may
-// be free in pieces, or in a zone where no more of the replicas may run.
+// Whether an existing or pending instance has capacity for one more replica of
+// the job, if need be by preempting tasks of lower priority. The total of the
+// requested resources does not show this: free capacity may be fragmented, or
+// in a zone where no more replicas of the job may run.
 bool ScaleOut::HasCapacityForReplica(const Job& job,
                                      const MachineUseTable& use) const {
   const std::set<std::string> zones = machine_types_.OpenZones(job);
@@ -136,16 +142,16 @@
     return instance.status != MachineStatus::kFailed &&
            CanRunMore(job, zones, instance.offer) &&
            !state_cache_.Draining(name) &&
-           FitsBesideMoreImportant(job.spec(), name, instance, use);
+           FitsWithPreemption(job.spec(), name, instance, use);
   });
 }
 
-// Whether a task fits on the machine beside the tasks of its own and higher
-// priority. Less important ones can be displaced.
-bool ScaleOut::FitsBesideMoreImportant(const JobSpec& spec,
-                                       const std::string& machine,
-                                       const Instance& instance,
-                                       const MachineUseTable& use) const {
+// Whether a task fits on the machine beside the tasks of equal or higher
+// priority. Tasks of lower priority can be preempted.
+bool ScaleOut::FitsWithPreemption(const JobSpec& spec,
+                                  const std::string& machine,
+                                  const Instance& instance,
+                                  const MachineUseTable& use) const {
   Resources free = state_cache_.FindType(instance.offer.type)->capacity;
   auto used = use.find(machine);
   if (used != use.end()) {
--- a/src/core/autoscaler/sizing/forecast.cc
+++ b/src/core/autoscaler/sizing/forecast.cc
@@ -7,8 +7,10 @@
 namespace pitchfall::sizing {
 namespace {
 
-constexpr int kLongLags = 3;
-// A series whose values differ by no more than this share of them is constant.
+// Lags of the long autoregression that estimates the errors.
+constexpr int kLongAutoregressionLags = 3;
+// A series is constant if its range is at most this fraction of its largest
+// value (or of 1, if that is larger).
 constexpr double kConstantTolerance = 1e-9;
 // A forecast is at most this many times the largest observation.
 constexpr double kMaxGrowth = 1.25;
@@ -21,22 +23,24 @@
   return d;
 }
 
-// Residuals of an autoregression with kLongLags lags; 0 for the first ones.
-std::vector<double> LongErrors(const std::vector<double>& d) {
+// Returns the residuals of an autoregression with kLongAutoregressionLags lags;
+// 0 for the first kLongAutoregressionLags entries.
+std::vector<double> LongAutoregressionResiduals(const std::vector<double>& d) {
   const int n = static_cast<int>(d.size());
-  Eigen::MatrixXd x(n - kLongLags, kLongLags + 1);
-  Eigen::VectorXd y(n - kLongLags);
-  for (int k = kLongLags; k < n; ++k) {
-    x(k - kLongLags, 0) = 1;
-    for (int lag = 1; lag <= kLongLags; ++lag) {
-      x(k - kLongLags, lag) = d[static_cast<size_t>(k - lag)];
+  Eigen::MatrixXd x(n - kLongAutoregressionLags, kLongAutoregressionLags + 1);
+  Eigen::VectorXd y(n - kLongAutoregressionLags);
+  for (int k = kLongAutoregressionLags; k < n; ++k) {
+    x(k - kLongAutoregressionLags, 0) = 1;
+    for (int lag = 1; lag <= kLongAutoregressionLags; ++lag) {
+      x(k - kLongAutoregressionLags, lag) = d[static_cast<size_t>(k - lag)];
     }
-    y(k - kLongLags) = d[static_cast<size_t>(k)];
+    y(k - kLongAutoregressionLags) = d[static_cast<size_t>(k)];
   }
   Eigen::VectorXd fitted = x * x.colPivHouseholderQr().solve(y);
   std::vector<double> errors(d.size(), 0.0);
-  for (int k = kLongLags; k < n; ++k) {
-    errors[static_cast<size_t>(k)] = y(k - kLongLags) - fitted(k - kLongLags);
+  for (int k = kLongAutoregressionLags; k < n; ++k) {
+    errors[static_cast<size_t>(k)] =
+        y(k - kLongAutoregressionLags) - fitted(k - kLongAutoregressionLags);
   }
   return errors;
 }
@@ -51,8 +55,8 @@
     return fit;
 
   std::vector<double> d = Differences(series);
-  std::vector<double> errors = LongErrors(d);
-  const int first = kLongLags + 1;
+  std::vector<double> errors = LongAutoregressionResiduals(d);
+  const int first = kLongAutoregressionLags + 1;
   const int n = static_cast<int>(d.size());
   Eigen::MatrixXd x(n - first, 4);
   Eigen::VectorXd y(n - first);
@@ -87,7 +91,7 @@
   double error = fit.last_error;
   for (double& next : values) {
     double d = fit.constant + fit.phi1 * d1 + fit.phi2 * d2 + fit.theta * error;
-    error = 0;  // of the future nothing is known
+    error = 0;  // The expected value of future errors is 0.
     d2 = d1;
     d1 = d;
     value += d;
--- a/src/core/autoscaler/sizing_history.cc
+++ b/src/core/autoscaler/sizing_history.cc
@@ -10,18 +10,21 @@
 namespace pitchfall {
 namespace {
 
-// The window, in periods, that the forecast is fitted to.
+// The length, in periods, of the window that the forecast is fitted to.
 constexpr size_t kMaxPoints = 40;
-// Of the stored record as JSON: without its points, and each of them.
+// Upper estimates of the size of the stored record as JSON: without its points,
+// and for each point.
 constexpr size_t kRecordBytes = 200;
 constexpr size_t kPointBytes = 100;
-// What a point keeps has four decimal places, so that it stays within the size
-// above.
+// Stored values are rounded to four decimal places, so that a point stays
+// within kPointBytes.
 constexpr double kStoredPrecision = 10000;
-// The share of a period for which late reports are waited for: one over this.
+// A period's point waits for late reports for at most the period divided by
+// this.
 constexpr int kReportWaitDivisor = 3;
 constexpr double kSecondsPerHour = 3600;
-// Until there are points to fit a curve to.
+// The delay curve (slope and base in seconds) until there are enough points to
+// fit one.
 constexpr sizing::DelayCurve kDefaultDelayCurve{1.0, 1.0};
 
 double RoundedForStorage(double value) {
@@ -30,12 +33,12 @@
 
 }  // namespace
 
-SizingHistory::SizingHistory(const Outbox& out, const Tuning& tuning,
+SizingHistory::SizingHistory(const Outbox& outbox, const Tuning& tuning,
                              const StateCache& state_cache,
                              const StateLimits& state_limits,
                              const MachineTypeCatalog& machine_types,
                              LeaderStateWriter& state_writer)
-    : out_(out),
+    : outbox_(outbox),
       tuning_(tuning),
       state_cache_(state_cache),
       state_limits_(state_limits),
@@ -45,9 +48,9 @@
 void SizingHistory::RecordPeriod(const SizingDecision& decision,
                                  uint32_t partition_count) {
   LoadStored();
-  const Duration since_epoch = out_.now().wall.time_since_epoch();
+  const Duration since_epoch = outbox_.now().wall.time_since_epoch();
   const auto period = static_cast<uint64_t>(since_epoch / tuning_.period);
-  if (period <= last_period_ || state_writer_.writing()) return;
+  if (period <= last_period_ || state_writer_.write_pending()) return;
   const PeriodLoad load = SumReports(period, partition_count);
   const Duration into_period = since_epoch % tuning_.period;
   const Duration report_wait = tuning_.period / kReportWaitDivisor;
@@ -57,7 +60,7 @@
   Store(decision);
 }
 
-// A new leader goes on from what its predecessor has stored.
+// Loads the predecessor's history, if this leader has none of its own yet.
 void SizingHistory::LoadStored() {
   const auto& stored = state_cache_.sizing();
   if (!points_.empty() || !stored || last_period_ != 0) return;
@@ -74,8 +77,8 @@
     if (!reported) sum.complete = false;
     if (stored == nullptr) continue;
     const LoadRecord& load = stored->value;
-    // A partition whose report is late counts with its last one; otherwise the
-    // sum would seem to drop.
+    // A partition whose report is late counts with its last one, because the
+    // sum would otherwise seem to drop.
     sum.requested += load.requested;
     sum.used += load.used;
     if (!reported) continue;
@@ -127,7 +130,8 @@
   sizing::TargetInputs inputs;
   inputs.waiting = demand.waiting;
   inputs.delay_price = tuning_.delay_price;
-  inputs.rent = type.price * ToSeconds(tuning_.period) / kSecondsPerHour;
+  inputs.machine_cost =
+      type.price * ToSeconds(tuning_.period) / kSecondsPerHour;
   inputs.delay_bound = ToSeconds(tuning_.delay_bound);
   inputs.curve = sizing::FitDelay(delays, kDefaultDelayCurve);
 
@@ -135,8 +139,8 @@
   targets.requested_machines = machine_types_.MachinesFor(demand.requested);
   for (double forecast : sizing::Forecast(series, tuning_.horizon)) {
     inputs.capacity = std::max(forecast, targets.requested_machines);
-    targets.by_period.push_back(
-        std::min<double>(sizing::Target(inputs), tuning_.max_machines));
+    targets.by_period.push_back(std::min<double>(
+        sizing::TargetMachineCount(inputs), tuning_.max_machines));
   }
   return targets;
 }
