--- a/src/core/jobs/client_answers.h
+++ b/src/core/jobs/client_answers.h
@@ -1,4 +1,5 @@
-// Answers to clients that several classes of this folder give.
+// Constants of the replies to clients that several classes of this directory
+// send.
 #ifndef PITCHFALL_CORE_JOBS_CLIENT_ANSWERS_H_
 #define PITCHFALL_CORE_JOBS_CLIENT_ANSWERS_H_
 
@@ -6,12 +7,12 @@
 
 namespace pitchfall {
 
-// The text of a 404.
+// The message of a 404 reply.
 inline constexpr char kNoSuchJob[] = "no such job";
 
-// The Retry-After of a 503 while the state service cannot be read in time.
-// Reads are tried several times a second, so that one has most likely succeeded
-// by then if the cause was short.
+// The Retry-After of a 503 reply while the state service cannot be read in
+// time. Reads are tried several times a second, so after a short failure one
+// of them has most likely succeeded within this time.
 inline constexpr Duration kRetryAfterStateUnreadable = Millis(2000);
 
 }  // namespace pitchfall
--- a/src/core/jobs/job_admission.cc
+++ b/src/core/jobs/job_admission.cc
@@ -12,9 +12,11 @@
 namespace pitchfall {
 namespace {
 
-// Services wait until the last controller has been upgraded.
+// The Retry-After of a service's submission until all live controllers have
+// been upgraded to a version that runs services.
 constexpr Duration kUpgradeRetry = Millis(2000);
-// Of the hashes that choose a partition. All controllers must choose alike.
+// The seed of the hashes that choose a partition. All controllers must use the
+// same value, so that they choose the same partition.
 constexpr uint64_t kPartitionHashSeed = 0;
 
 }  // namespace
@@ -39,9 +41,10 @@
   record.spec = spec;
   record.submitted = out_.now().wall;
   record.chunk_size = ChunkSize(spec);
-  // The partition with the most free capacity takes the job; if it has not
-  // capacity for all of it, the partitions take its chunks in turn, unless
-  // these depend on each other.
+  // The partition with the most free capacity takes the job. If it does not
+  // have capacity for all tasks, the chunks are assigned to all partitions
+  // round robin, unless the job constrains the tasks' places relative to each
+  // other.
   auto otherwise = static_cast<uint32_t>(
       StableHash(spec.id, kPartitionHashSeed) % partition_count_);
   auto [home, capacity] = capacity_table_.MostFreeCapacity(
@@ -58,11 +61,13 @@
 uint32_t JobAdmission::ChunkSize(const JobSpec& spec) const {
   uint32_t min_chunk_size = (spec.tasks + kMaxChunks - 1) / kMaxChunks;
   switch (spec.shape) {
-    // Its tasks start together: one partition has to find capacity for all.
+    // The tasks of a gang start together, so that one partition has to find
+    // capacity for all of them.
     case Shape::kGang:
       return spec.tasks;
-    // Each replica by itself, so that one that is lost can go to whichever
-    // partition has capacity while the others run.
+    // Each replica is a chunk of its own as far as kMaxChunks allows, so that
+    // a lost replica can move to any partition with capacity while the others
+    // keep running.
     case Shape::kService:
       return min_chunk_size;
     case Shape::kArray:
@@ -72,8 +77,8 @@
 }
 
 // Services with the same image share a partition as far as it has capacity:
-// most of its machines soon have the image, and a replica that need not fetch
-// it starts several seconds sooner.
+// most of that partition's machines soon have the image in their cache, and a
+// replica that does not have to fetch it starts several seconds sooner.
 uint32_t JobAdmission::HomeOfService(const JobSpec& spec,
                                      uint32_t otherwise) const {
   auto first =
--- a/src/core/jobs/job_admission.h
+++ b/src/core/jobs/job_admission.h
@@ -1,4 +1,5 @@
-// Decides whether a submitted job is taken, and writes its first record.
+// Decides whether a submitted job is accepted, and builds the record under
+// which it is first stored.
 #ifndef PITCHFALL_CORE_JOBS_JOB_ADMISSION_H_
 #define PITCHFALL_CORE_JOBS_JOB_ADMISSION_H_
 
@@ -17,18 +18,21 @@
 
 namespace pitchfall {
 
-// The submission may be stored.
+// The job can run and may be stored.
 struct Admitted {};
-// It cannot be judged or run yet; the client should come back after this time.
+// The job cannot be checked or run yet. The client should submit it again
+// after `retry_after`.
 struct RetryLater {
   Duration retry_after{0};
 };
+// The outcome of a check. A Rejection is permanent: the job can never run here.
 using AdmissionDecision = std::variant<Admitted, Rejection, RetryLater>;
 
-// Validates submissions and chooses the partition that runs them.
+// Validates submissions, divides jobs into chunks and chooses the partitions
+// that run them. The constructor's references must outlive the object.
 class JobAdmission {
  public:
-  // `now` of the outbox is the time of every decision.
+  // Every decision uses the outbox's `now` as the current time.
   JobAdmission(const Deployment& deployment, const Tuning& tuning,
                const Outbox& out, const StateCache& state_cache,
                const StateWatcher& state_watcher,
@@ -43,17 +47,22 @@
         capacity_table_(capacity_table),
         partition_count_(partition_count) {}
 
-  // Judges a job that is not stored yet. Changes nothing.
+  // Checks a job that is not stored yet. Has no side effects. Returns
+  // RetryLater if the state cache is out of date or the machine types are
+  // unknown, and for a service while a live controller is too old to run it.
   AdmissionDecision Check(const JobSpec& spec) const;
 
-  // The record under which an admitted job is first stored. If one partition
-  // takes the whole job, its capacity is reserved in the capacity table, so
-  // that jobs stored before its next heartbeat go elsewhere.
+  // Returns the record under which an admitted job is first stored. If one
+  // partition takes the whole job, reserves capacity for the job in the
+  // capacity table, so that jobs that are stored before the partition's owner
+  // next announces its free capacity go to other partitions.
   JobRecord FirstRecord(const JobSpec& spec);
 
  private:
-  // Tasks in one chunk.
+  // Returns the number of tasks in one chunk of the job.
   uint32_t ChunkSize(const JobSpec& spec) const;
+  // Returns the home partition of a service, or `otherwise` if no partition
+  // has capacity for all its replicas.
   uint32_t HomeOfService(const JobSpec& spec, uint32_t otherwise) const;
 
   const Deployment& deployment_;
--- a/src/core/jobs/job_change_queue.cc
+++ b/src/core/jobs/job_change_queue.cc
@@ -11,44 +11,49 @@
 namespace pitchfall {
 namespace {
 
-// A change that could not be stored within this time is handed back to its
-// client, which gives up waiting after five seconds.
+// A change that could not be stored within this time is refused, so that the
+// client, which stops waiting after five seconds, still gets an answer.
 constexpr Duration kMaxQueueTime = Millis(2500);
 
-// Between a stored batch and the next, so that changes gather into one.
+// The delay between a stored batch and the next, in which changes accumulate
+// so that one transaction stores several.
 constexpr Duration kStoreInterval = Millis(15);
-// After the state service said that the shared rate is used up.
+// The delay after the state service replied 429: the rate limit that all
+// controllers share is exceeded.
 constexpr Duration kRateLimitedDelay = Millis(100);
-// After a refusal or no answer: the state service is in trouble.
+// The delay after any other error or no reply, when the state service is
+// presumably failing.
 constexpr Duration kFailureDelay = Millis(200);
 
-// Starts and results of tasks come first, but they use up whatever there is of
-// the write budget. After so long a submission takes a token that the next of
-// them will have to wait for.
+// Starts and results of tasks have priority, but they use up the whole write
+// budget. Once a submission has waited for this long it takes a token in
+// advance, and the next start or result waits instead.
 constexpr Duration kSubmissionPatience = Millis(40);
-// How far below zero a change may take the write budget. Cancellations may do
-// so at once.
+// How many tokens below zero a change may take the write budget. Cancellations
+// may do so without waiting first.
 constexpr double kMaxSubmissionDebt = 2;
 constexpr double kMaxCancellationDebt = 2;
 
-// Submissions are queued up to what is stored in so many seconds at the present
-// rate, and a few whatever the rate.
+// Submissions are refused once the queue holds as many changes as are stored in
+// kMaxQueueSeconds at the present rate, but never while it holds fewer than
+// kMinQueueCapacity.
 constexpr double kMaxQueueSeconds = 1.5;
 constexpr double kMinQueueCapacity = 4;
 
-// What a refused client waits: the time by which the queue will have been
-// worked off, within these bounds. A rate that is nearly zero for a moment must
-// not send it away for long.
-constexpr double kMinDrainRate = 0.5;  // changes a second
+// The Retry-After of a refused change is the time in which the present queue is
+// stored at the present rate, within these bounds. A rate that is nearly zero
+// for a moment must not make clients wait for long.
+constexpr double kMinDrainRate = 0.5;  // changes per second
 constexpr double kMinRetrySeconds = 1;
 constexpr double kMaxRetrySeconds = 20;
-// The same after a transaction that was refused or whose outcome is unknown: a
-// read that shows what became of it takes less, unless the trouble goes on.
+// The Retry-After for the changes of a transaction that failed or whose outcome
+// is unknown. Unless the failure persists, a read that shows the outcome takes
+// less time.
 constexpr Duration kRetryAfterUnknownOutcome = Millis(1000);
 
-// Each change is one condition and one write.
+// Each change takes one condition and one write of a transaction.
 constexpr size_t kOperationsPerChange = 2;
-// As a condition: the key must not exist yet.
+// The revision that, in a condition, means that the key must not exist.
 constexpr uint64_t kAbsent = 0;
 
 }  // namespace
@@ -83,8 +88,8 @@
     queue_.push_front(std::move(change));
     return;
   }
-  // More than can be stored in time is sent away at once, with the time by
-  // which the queue will have been worked off.
+  // A submission that cannot be stored in time is refused at once, with the
+  // time after which the queue will have been stored.
   double waiting = static_cast<double>(queue_.size());
   double capacity =
       std::max(kMinQueueCapacity, state_.writes.rate() * kMaxQueueSeconds);
@@ -120,7 +125,8 @@
   if (storing_ || queue_.empty() || now < next_store_) return;
   Batch batch = TakeBatch(now);
   if (batch.changes.empty()) return;
-  // The write has been decided on; its request is counted whatever the budget.
+  // The write tokens are already taken, so the transaction is sent even if the
+  // request budget is used up.
   state_.requests.TakeOnCredit(now, 1);
   storing_ = true;
   Transaction transaction = batch.transaction;
@@ -133,7 +139,8 @@
 }
 
 // Takes changes off the queue until a limit of the state service or the write
-// budget is reached, and answers those with nothing left to store.
+// budget is reached. Changes with nothing left to store are dropped and their
+// requests answered with the state of the job.
 JobChangeQueue::Batch JobChangeQueue::TakeBatch(SteadyTime now) {
   double submission_reserve = SubmissionReserve(now);
   Batch batch;
@@ -178,8 +185,10 @@
   return state_.writes.Take(now, 1, reserve);
 }
 
-// The reserve of write tokens that submissions leave; negative once the newest
-// of them has waited long enough to take tokens in advance.
+// Returns the number of write tokens that submissions must leave. It is
+// negative, so that they may take tokens in advance, once the last change in
+// the queue has waited for kSubmissionPatience. The last change is the newest
+// submission, unless only a retried batch or cancellations are queued.
 double JobChangeQueue::SubmissionReserve(SteadyTime now) const {
   bool patient = now - queue_.back().since < kSubmissionPatience;
   return patient ? 0 : -kMaxSubmissionDebt;
@@ -214,7 +223,8 @@
       Requeue(std::move(batch.changes));
       return;
     case http_status::kConflict:
-      // Another controller has changed one of the jobs: read, then try again.
+      // Another controller has changed one of the jobs. The batch is retried
+      // after the next read, whether that read succeeds or not.
       state_.state_watcher.AfterNextRead(
           [this, changes = std::move(batch.changes)](bool) {
             Requeue(changes);
@@ -223,9 +233,9 @@
     default:
       break;
   }
-  // Refused, or no answer: then the outcome is unknown, and a late copy may
-  // still be carried out. A job's key is only ever created once, so that the
-  // client's next try finds out.
+  // The transaction failed, or there was no reply. Without a reply the outcome
+  // is unknown, and the transaction may still be executed later. A job's key is
+  // created only once, so the client learns the outcome when it retries.
   state_.state_watcher.RequestRead();
   next_store_ = now + kFailureDelay;
   for (const PendingChange& change : batch.changes) {
@@ -253,8 +263,8 @@
   }
 }
 
-// Puts the changes back to the front, the last of them first. They keep the
-// time since when they wait.
+// Puts the changes back at the front of the queue, in reverse order. They keep
+// the time at which they were first queued.
 void JobChangeQueue::Requeue(std::vector<PendingChange> changes) {
   for (PendingChange& change : changes) queue_.push_front(std::move(change));
 }
--- a/src/core/jobs/job_change_queue.h
+++ b/src/core/jobs/job_change_queue.h
@@ -1,4 +1,5 @@
-// Stores submissions and cancellations in the state service.
+// The queue through which submissions and cancellations are stored in the state
+// service.
 #ifndef PITCHFALL_CORE_JOBS_JOB_CHANGE_QUEUE_H_
 #define PITCHFALL_CORE_JOBS_JOB_CHANGE_QUEUE_H_
 
@@ -21,20 +22,21 @@
 
 namespace pitchfall {
 
-// The state service as the queue uses it: the copy that it keeps, the reads,
-// and the budgets and limits of writes.
+// What the queue uses to access the state service. All references must outlive
+// the queue.
 struct StateAccess {
-  StateCache& state_cache;
-  StateWatcher& state_watcher;
-  TokenBucket& requests;
-  TokenBucket& writes;
-  const StateLimits& state_limits;
+  StateCache& state_cache;          // this process's copy of the state
+  StateWatcher& state_watcher;      // reads the state service
+  TokenBucket& requests;            // budget of requests to the service
+  TokenBucket& writes;              // budget of puts and deletes
+  const StateLimits& state_limits;  // size limits of writes
 };
 
-// A queue of changes to job records, batched into one compare-and-swap
-// transaction at a time. A request is acknowledged only once its change is
-// stored. Changes that are waiting too long, or are too many, are refused with
-// a Retry-After; after a conflict or a used-up rate the batch is tried again.
+// Queues changes to job records and stores them in batches, with at most one
+// compare-and-swap transaction in flight. A request is acknowledged only once
+// its change is stored. A change that waits too long, or that finds the queue
+// full, is refused with a Retry-After. After a conflict, or when the state
+// service's rate limit is exceeded, the batch is retried.
 class JobChangeQueue {
  public:
   JobChangeQueue(const Tuning& tuning, Outbox& out, StateAccess state,
@@ -45,44 +47,58 @@
         admission_(admission),
         queries_(queries) {}
 
-  // Queues an admitted submission. Refuses it at once if more are waiting than
-  // can be stored in time. A repeated submission joins the one that waits.
+  // Queues an admitted submission, or refuses it at once if more changes are
+  // waiting than can be stored in time. A repeated submission of a waiting job
+  // is answered together with the first.
   void Submit(RequestId request, const JobSpec& spec);
 
-  // Queues the cancellation of a job that is in the state cache, ahead of all
-  // submissions.
+  // Queues the cancellation of a job ahead of all submissions. The job must be
+  // in the state cache.
   void Cancel(RequestId request, const std::string& job);
 
-  // Refuses what has waited too long and stores the next batch, if none is
-  // under way. To be called once per batch of commands.
+  // Refuses changes that have waited too long, and starts to store the next
+  // batch if no transaction is in flight. To be called once per batch of
+  // commands.
   void Step();
 
-  // How many cancellations this process has stored.
+  // Returns how many cancellations this process has stored since it started.
   uint64_t cancellations_stored() const { return cancellations_stored_; }
 
  private:
   enum class Kind : uint8_t { kSubmission, kCancellation };
+  // A change that is not stored yet.
   struct PendingChange {
     Kind kind = Kind::kSubmission;
-    std::string job;
-    JobSpec spec;  // of a submission
-    std::vector<RequestId> requests;
-    SteadyTime since;
+    std::string job;                  // the job's identifier
+    JobSpec spec;                     // empty for a cancellation
+    std::vector<RequestId> requests;  // all get the same answer
+    SteadyTime since;                 // when the first request arrived
   };
+  // Changes with the transaction that stores them, in the same order.
   struct Batch {
     std::vector<PendingChange> changes;
     Transaction transaction;
   };
 
   void Enqueue(PendingChange change);
+  // Adds the change's requests to an equal change in the queue. Returns false
+  // if there is none.
   bool JoinWaiting(const PendingChange& change);
+  // Refuses and drops all changes that have waited too long.
   void RefuseOverdue();
   void StoreNextBatch();
+  // Takes the next batch off the queue; it is empty if the write budget is used
+  // up or nothing is left to store.
   Batch TakeBatch(SteadyTime now);
-  // Whether the state cache shows that there is nothing left to store.
+  // Returns whether the state cache shows that nothing is left to store: the
+  // job of a submission is stored already, or the job to cancel is final.
   bool Superseded(const PendingChange& change) const;
+  // Returns the largest number of bytes that the change can add to a
+  // transaction.
   size_t TransactionBytes(const PendingChange& change) const;
-  // Takes the change's share of the write budget.
+  // Takes one write token for the change. Returns false, without taking it, if
+  // fewer than `submission_reserve` would be left. For a cancellation the
+  // reserve is -kMaxCancellationDebt instead.
   bool TakeWrite(const PendingChange& change, double submission_reserve,
                  SteadyTime now);
   double SubmissionReserve(SteadyTime now) const;
@@ -92,6 +108,8 @@
   void Acknowledge(const PendingChange& change);
   void Requeue(std::vector<PendingChange> changes);
   void Refuse(const PendingChange& change, Duration retry_after);
+  // Returns the Retry-After of a refusal: the estimated time until the present
+  // queue has been stored.
   Duration RetryAfter() const;
 
   const Tuning& tuning_;
@@ -99,11 +117,12 @@
   StateAccess state_;
   JobAdmission& admission_;
   JobQueries& queries_;
-  // Cancellations first, except that a batch to be tried again comes before all
-  // others and in reverse order.
+  // Cancellations come first, the newest before the others, then submissions
+  // in the order of their arrival. A batch that is retried is put before
+  // everything that is queued at that time, in reverse order.
   std::deque<PendingChange> queue_;
-  bool storing_ = false;  // a transaction is under way
-  SteadyTime next_store_{};
+  bool storing_ = false;     // whether a transaction is in flight
+  SteadyTime next_store_{};  // no batch is stored before this time
   uint64_t cancellations_stored_ = 0;
 };
 
