--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -9,18 +9,21 @@
 namespace pitchfall {
 namespace {
 
-// The owner of this partition leads: it runs the autoscaler.
+// The owner of this partition is the leader, which runs the autoscaler.
 constexpr uint32_t kLeaderPartition = 0;
-// How long a client of a controller that is not healthy should wait.
+// The Retry-After of health checks while this controller is unhealthy.
 constexpr Duration kUnhealthyRetryAfter = Millis(2000);
 
+// Returns the configured number of partitions; if that is 0, there is one for
+// each controller.
 uint32_t PartitionCount(const Deployment& deployment, const Tuning& tuning) {
   if (tuning.partition_count > 0) return tuning.partition_count;
   return static_cast<uint32_t>(deployment.peers.size() + 1);
 }
 
-// Clients keep their connections, so that one refused here would go on coming
-// here long after the load balancer has turned away.
+// Marks the connections of all refused requests to be closed. Clients keep
+// their connections open, so a refused client would go on sending requests here
+// long after the load balancer has stopped choosing this controller.
 void CloseRefusedConnections(std::vector<Effect>& effects) {
   for (Effect& effect : effects) {
     auto* reply = std::get_if<Reply>(&effect);
@@ -140,8 +143,8 @@
   if (number == kLeaderPartition) autoscaler_.emplace(context_, *fencing_token);
 }
 
-// Machines and chunks of partitions that nobody owns would be left alone for
-// ever.
+// Machines and chunks of the partitions beyond the count would never be
+// scheduled, because no controller owns those partitions.
 void Controller::CheckStoredPartitionCount() {
   if (std::exchange(partition_count_checked_, true)) return;
   uint32_t stored = state_cache_.PartitionCount();
@@ -153,9 +156,10 @@
            stored, context_.partition_count, stored);
 }
 
-// All partitions of this owner share its budget of writes. Whichever stepped
-// first would take each token as it comes and leave the others none, so
-// the one whose last write lies furthest back goes first.
+// All partitions of this controller share its write budget. A partition that
+// always ran first would take every token as it becomes available and leave
+// none to the others. Therefore the partition whose last write is the oldest
+// runs first.
 void Controller::StepPartitions() {
   std::vector<Partition*> in_turn;
   for (auto& [number, partition] : partitions_) {
@@ -179,7 +183,9 @@
   peers_.SendHeartbeat(status);
 }
 
-// Workers that cannot reach their owner go round the other controllers.
+// Workers that cannot reach the owner of their partition try the other
+// controllers in turn, which count them. An owner that hears none of its
+// workers hands the partition to a controller that does.
 void Controller::HandOverUnreachablePartitions() {
   for (const auto& [number, partition] : partitions_) {
     misrouted_workers_.HandOverIfUnreachable(number, partition->last_heard());
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -1,4 +1,5 @@
-// The whole controller without its sockets: commands in, effects out.
+// The controller without network input and output: it takes commands and
+// returns effects.
 #ifndef PITCHFALL_CORE_CONTROLLER_H_
 #define PITCHFALL_CORE_CONTROLLER_H_
 
@@ -21,16 +22,20 @@
 
 namespace pitchfall {
 
-// Hands each command to the component that it is for, then lets every component
-// do its next step. Decides nothing itself beyond which partitions run here.
+// Dispatches each command to the component that handles it, then lets every
+// component do the work that is due. Starts and stops the partitions and the
+// autoscaler that run in this process; all other policy is in the components.
 class Controller {
  public:
-  // `incarnation` must differ from that of every process that ever ran.
+  // `incarnation` identifies this process. It must differ from that of every
+  // other process that ever ran.
   Controller(Deployment deployment, Tuning tuning,
              const std::string& incarnation);
 
-  // Works through a batch of commands at one moment and returns what is to be
-  // done. A Tick should come at least every few tens of milliseconds.
+  // Handles a batch of commands, all at the time `now`, and returns the effects
+  // that the caller must carry out. Work without a command of its own depends
+  // on regular calls: a Tick should arrive at least every few tens of
+  // milliseconds.
   std::vector<Effect> Handle(Now now, std::span<const Command> commands);
 
   const StateCache& state_cache() const { return state_cache_; }
@@ -53,16 +58,23 @@
   void On(const PeerHeartbeat& heartbeat);
   void On(const Tick&) {}
 
-  // The steps of a batch, in their order.
+  // The steps that follow the commands of a batch, in the order in which they
+  // run.
   void UpdateRateShares();
+  // Starts and stops partitions as the state cache shows their owners.
   void FollowOwnership();
   void StepPartitions();
   void SendHeartbeatIfDue();
   void HandOverUnreachablePartitions();
 
-  // Reports once if the state holds partitions beyond the configured count.
+  // Logs an error if the state holds partitions beyond the configured count.
+  // Only the first call checks.
   void CheckStoredPartitionCount();
-  // Replaces what runs here of a partition after its owner has changed.
+  // Brings what runs here of a partition in line with its ownership.
+  // `fencing_token` is empty if this process does not own the partition. If it
+  // differs from that of the running Partition, that one is destroyed and, if
+  // this process is the owner, a new one created; likewise the autoscaler with
+  // partition 0.
   void SetFencingToken(uint32_t number, std::optional<uint64_t> fencing_token);
   Context MakeContext(const std::string& incarnation);
 
@@ -77,8 +89,10 @@
   Peers peers_;
   MisroutedWorkers misrouted_workers_;
   JobRequests job_requests_;
-  std::map<uint32_t, std::unique_ptr<Partition>> partitions_;  // owned here
-  std::optional<Autoscaler> autoscaler_;  // while this controller leads
+  // The partitions that this process owns, by number.
+  std::map<uint32_t, std::unique_ptr<Partition>> partitions_;
+  // Empty unless this controller is the leader.
+  std::optional<Autoscaler> autoscaler_;
   bool partition_count_checked_ = false;
 };
 
--- a/src/core/jobs/job_queries.cc
+++ b/src/core/jobs/job_queries.cc
@@ -8,10 +8,12 @@
 namespace pitchfall {
 namespace {
 
-// Clients wait two seconds for the answer to a poll; the rest is for the
-// answer's way back.
+// How long a query may wait before its read is requested. Clients wait two
+// seconds for the answer to a poll; the rest of that time is left for sending
+// the answer.
 constexpr Duration kMaxQueryWait = Millis(1500);
-// Bounds the memory and the burst of answers after a slow read.
+// Limits the memory that waiting queries use, and the burst of answers after a
+// slow read.
 constexpr size_t kMaxWaitingQueries = 2000;
 
 }  // namespace
@@ -32,7 +34,7 @@
 
 void JobQueries::Step() {
   if (waiting_.empty()) return;
-  // A state service that does not answer must not keep clients waiting.
+  // Clients must not be kept waiting while the state service does not answer.
   if (!state_watcher_.Fresh()) {
     RefuseAll();
     return;
--- a/src/core/jobs/job_queries.h
+++ b/src/core/jobs/job_queries.h
@@ -1,4 +1,5 @@
-// Answers questions about jobs after a linearizable read.
+// Answers clients' queries for the state of a job, after a linearizable read
+// unless that state is final.
 #ifndef PITCHFALL_CORE_JOBS_JOB_QUERIES_H_
 #define PITCHFALL_CORE_JOBS_JOB_QUERIES_H_
 
@@ -15,48 +16,57 @@
 
 namespace pitchfall {
 
-// Whether an answer carries the numbers of tasks that are done and running.
-// Polls ask for them; answers to submissions and cancellations leave them out.
+// Whether an answer includes the numbers of tasks that are done and running.
+// Answers to polls include them; answers to submissions and cancellations omit
+// them.
 enum class TaskCounts : uint8_t { kOmit, kInclude };
 
-// Tells clients about jobs. A final state never changes, so it is answered at
-// once from the state cache. Any other is answered after a read of the state
-// service that starts after the question arrived, since another controller may
-// have changed the job in the meantime. All questions that wait share one read.
+// Answers queries for the state of jobs. A final state never changes, so it is
+// answered at once from the state cache. Any other state is answered after a
+// read of the state service that starts after the query arrived, because
+// another controller may have changed the job meanwhile. All waiting queries
+// share one read.
 class JobQueries {
  public:
   JobQueries(Outbox& out, const StateCache& state_cache,
              StateWatcher& state_watcher)
       : out_(out), state_cache_(state_cache), state_watcher_(state_watcher) {}
 
-  // Answers `request` with the job's state: 200, 404 if no such job is stored,
-  // or 503 with Retry-After if the state service does not answer in time or too
-  // many questions wait already.
+  // Answers `request`, now or later: with 200 and the job's state, with 404 if
+  // no such job is stored, or with 503 and Retry-After if the state service
+  // cannot be read in time or too many queries are waiting already.
   void Answer(RequestId request, const std::string& job, TaskCounts counts);
 
-  // Starts the read for the questions that wait, and refuses those that waited
-  // too long. To be called once per batch of commands.
+  // Refuses the queries that have waited too long, or all of them while the
+  // state cache is out of date, and requests a read for the others if none is
+  // pending. To be called once per batch of commands.
   void Step();
 
  private:
   struct WaitingQuery {
     RequestId request = 0;
-    std::string job;
+    std::string job;  // the job's identifier
     TaskCounts counts = TaskCounts::kOmit;
-    SteadyTime since;
+    SteadyTime since;  // when the query arrived
   };
 
+  // Answers the query from the state cache, or refuses it if the read failed.
   void AnswerFromCache(const WaitingQuery& query, bool read_succeeded);
   void AnswerWith(RequestId request, const Job& job, TaskCounts counts);
+  // Refuses and drops all queries in `waiting_`.
   void RefuseAll();
+  // Refuses and drops the queries in `waiting_` that have waited too long.
   void RefuseOverdue();
+  // Requests a read and answers all queries in `waiting_` after it.
   void StartRead();
 
   Outbox& out_;
   const StateCache& state_cache_;
   StateWatcher& state_watcher_;
-  std::vector<WaitingQuery> waiting_;  // for the next read
-  bool reading_ = false;               // for queries no longer in `waiting_`
+  // Queries for which no read has been requested yet.
+  std::vector<WaitingQuery> waiting_;
+  // Whether a read is pending, for queries that are no longer in `waiting_`.
+  bool reading_ = false;
 };
 
 }  // namespace pitchfall
--- a/src/core/jobs/job_requests.cc
+++ b/src/core/jobs/job_requests.cc
@@ -62,7 +62,8 @@
   changes_.Cancel(request, id);
 }
 
-// Another controller may have stored the job a moment ago.
+// Another controller may have stored the job so recently that only the next
+// read shows it.
 void JobRequests::CancelAfterNextRead(RequestId request,
                                       const std::string& id) {
   state_watcher_.AfterNextRead([this, request, id](bool read_succeeded) {
--- a/src/core/jobs/job_requests.h
+++ b/src/core/jobs/job_requests.h
@@ -1,5 +1,6 @@
-// The requests of clients: submissions, polls and cancellations. Any controller
-// serves any client; nothing is acknowledged before it is stored.
+// Handles the requests of clients: submissions, polls and cancellations. Every
+// controller serves every client. No change is acknowledged before it is
+// stored.
 #ifndef PITCHFALL_CORE_JOBS_JOB_REQUESTS_H_
 #define PITCHFALL_CORE_JOBS_JOB_REQUESTS_H_
 
@@ -18,32 +19,36 @@
 
 namespace pitchfall {
 
-// Leads each request through admission, the queue of changes or the queries.
-// Every request gets one answer.
+// Passes each request to admission, the change queue or the queries. Every
+// request is answered exactly once.
 class JobRequests {
  public:
+  // `context` must outlive the object.
   explicit JobRequests(Context& context);
   JobRequests(const JobRequests&) = delete;
   JobRequests& operator=(const JobRequests&) = delete;
 
-  // 201 once the job is stored, 200 if it was already, 422 if it can never run,
-  // or 503 with Retry-After.
+  // Answers with 201 once the job is stored, 200 if it was stored already, 422
+  // if it can never run, or 503 with Retry-After.
   void Submit(RequestId request, const JobSpec& spec);
-  // 200 with the job's state, 404, or 503 with Retry-After.
+  // Answers with 200 and the job's state, 404 if there is no such job, or 503
+  // with Retry-After.
   void Poll(RequestId request, const std::string& job);
-  // 200 once the cancellation is stored or the job is over, 404, or 503 with
-  // Retry-After.
+  // Answers with 200 once the cancellation is stored or if the job is final,
+  // 404 if there is no such job, or 503 with Retry-After.
   void Cancel(RequestId request, const std::string& job);
 
-  // To be called once per batch of commands, after all of them.
+  // Advances the waiting queries and changes. To be called once per batch of
+  // commands, after all commands have been handled.
   void Step();
 
-  // How many cancellations this process has stored.
+  // Returns how many cancellations this process has stored since it started.
   uint64_t cancellations_stored() const {
     return changes_.cancellations_stored();
   }
 
  private:
+  // Cancels a job that the state cache does not show yet.
   void CancelAfterNextRead(RequestId request, const std::string& job);
 
   Outbox& out_;
