--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -39,7 +39,7 @@
     : deployment_(std::move(deployment)),
       tuning_(tuning),
       rate_limits_(deployment_),
-      state_watcher_(tuning_, out_, state_cache_, rate_limits_.requests()),
+      state_watcher_(tuning_, outbox_, state_cache_, rate_limits_.requests()),
       context_(MakeContext(incarnation)),
       ownership_(context_),
       peers_(context_),
@@ -50,7 +50,7 @@
   uint32_t partition_count = PartitionCount(deployment_, tuning_);
   return {.deployment = deployment_,
           .tuning = tuning_,
-          .out = out_,
+          .out = outbox_,
           .state_cache = state_cache_,
           .state_watcher = state_watcher_,
           .requests = rate_limits_.requests(),
@@ -66,34 +66,34 @@
 
 std::vector<Effect> Controller::Handle(Now now,
                                        std::span<const Command> commands) {
-  out_.set_now(now);
+  outbox_.set_now(now);
   for (const Command& command : commands) {
-    std::visit([this](const auto& c) { On(c); }, command);
+    std::visit([this](const auto& c) { HandleCommand(c); }, command);
   }
   peers_.ForgetStoredCancellations();
   UpdateRateShares();
   ownership_.Step();
-  FollowOwnership();
-  StepPartitions();
+  UpdateOwnedPartitions();
+  RunPartitions();
   if (autoscaler_) autoscaler_->Step();
-  job_requests_.Step();
+  job_requests_.RunDueWork();
   SendHeartbeatIfDue();
   HandOverUnreachablePartitions();
   state_watcher_.Step();
-  std::vector<Effect> effects = out_.TakeEffects();
+  std::vector<Effect> effects = outbox_.TakeEffects();
   if (!peers_.Healthy()) CloseRefusedConnections(effects);
   return effects;
 }
 
-void Controller::On(const HealthCheck& command) {
+void Controller::HandleCommand(const HealthCheck& command) {
   if (peers_.Healthy()) {
-    out_.Answer(command.request, http_status::kOk);
+    outbox_.Answer(command.request, http_status::kOk);
   } else {
-    out_.Refuse(command.request, kUnhealthyRetryAfter);
+    outbox_.Refuse(command.request, kUnhealthyRetryAfter);
   }
 }
 
-void Controller::On(const ReceiveWorkerHeartbeat& command) {
+void Controller::HandleCommand(const ReceiveWorkerHeartbeat& command) {
   const WorkerHeartbeat& heartbeat = command.heartbeat;
   uint32_t number = PartitionOf(heartbeat.machine, context_.partition_count);
   auto partition = partitions_.find(number);
@@ -105,7 +105,7 @@
   partition->second->OnWorkerHeartbeat(command.request, heartbeat);
 }
 
-void Controller::On(const PeerHeartbeat& heartbeat) {
+void Controller::HandleCommand(const PeerHeartbeat& heartbeat) {
   if (!peers_.OnHeartbeat(heartbeat)) return;
   for (const auto& [number, fencing_token] : heartbeat.tokens) {
     auto partition = partitions_.find(number);
@@ -119,22 +119,22 @@
                             autoscaler_.has_value());
 }
 
-void Controller::FollowOwnership() {
+void Controller::UpdateOwnedPartitions() {
   if (!state_watcher_.loaded()) return;
   CheckStoredPartitionCount();
   for (uint32_t number = 0; number < context_.partition_count; ++number) {
-    SetFencingToken(number, ownership_.FencingTokenOf(number));
+    UpdatePartition(number, ownership_.FencingTokenOf(number));
   }
 }
 
-void Controller::SetFencingToken(uint32_t number,
+void Controller::UpdatePartition(uint32_t number,
                                  std::optional<uint64_t> fencing_token) {
-  std::optional<uint64_t> before;
+  std::optional<uint64_t> current_token;
   auto partition = partitions_.find(number);
   if (partition != partitions_.end()) {
-    before = partition->second->fencing_token();
+    current_token = partition->second->fencing_token();
   }
-  if (fencing_token == before) return;
+  if (fencing_token == current_token) return;
   partitions_.erase(number);
   if (number == kLeaderPartition) autoscaler_.reset();
   if (!fencing_token) return;
@@ -149,24 +149,23 @@
   if (std::exchange(partition_count_checked_, true)) return;
   uint32_t stored = state_cache_.PartitionCount();
   if (stored <= context_.partition_count) return;
-  out_.Log(LogLevel::kError,
-           "event=partition_count_mismatch stored={} now={} remedy=\"set "
-           "(parts {}) on "
-           "all controllers until no job is open\"",
-           stored, context_.partition_count, stored);
+  outbox_.Log(LogLevel::kError,
+              "event=partition_count_mismatch stored={} now={} remedy=\"set "
+              "(parts {}) on all controllers until no job is open\"",
+              stored, context_.partition_count, stored);
 }
 
 // All partitions of this controller share its write budget. A partition that
 // always ran first would take every token as it becomes available and leave
 // none to the others. Therefore the partition whose last write is the oldest
 // runs first.
-void Controller::StepPartitions() {
-  std::vector<Partition*> in_turn;
+void Controller::RunPartitions() {
+  std::vector<Partition*> by_last_write;
   for (auto& [number, partition] : partitions_) {
-    in_turn.push_back(partition.get());
+    by_last_write.push_back(partition.get());
   }
-  std::ranges::stable_sort(in_turn, {}, &Partition::last_write);
-  for (Partition* partition : in_turn) partition->Step();
+  std::ranges::stable_sort(by_last_write, {}, &Partition::last_write);
+  for (Partition* partition : by_last_write) partition->Step();
 }
 
 void Controller::SendHeartbeatIfDue() {
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -41,29 +41,29 @@
   const StateCache& state_cache() const { return state_cache_; }
 
  private:
-  void On(const SubmitJob& command) {
+  void HandleCommand(const SubmitJob& command) {
     job_requests_.Submit(command.request, command.spec);
   }
-  void On(const PollJob& command) {
+  void HandleCommand(const PollJob& command) {
     job_requests_.Poll(command.request, command.job);
   }
-  void On(const CancelJob& command) {
+  void HandleCommand(const CancelJob& command) {
     job_requests_.Cancel(command.request, command.job);
   }
-  void On(const HealthCheck& command);
-  void On(const ReceiveWorkerHeartbeat& command);
-  void On(const StateReply& reply) { out_.Handle(reply); }
-  void On(const CloudReply& reply) { out_.Handle(reply); }
-  void On(const WorkerReply& reply) { out_.Handle(reply); }
-  void On(const PeerHeartbeat& heartbeat);
-  void On(const Tick&) {}
+  void HandleCommand(const HealthCheck& command);
+  void HandleCommand(const ReceiveWorkerHeartbeat& command);
+  void HandleCommand(const StateReply& reply) { outbox_.Handle(reply); }
+  void HandleCommand(const CloudReply& reply) { outbox_.Handle(reply); }
+  void HandleCommand(const WorkerReply& reply) { outbox_.Handle(reply); }
+  void HandleCommand(const PeerHeartbeat& heartbeat);
+  void HandleCommand(const Tick&) {}
 
   // The steps that follow the commands of a batch, in the order in which they
   // run.
   void UpdateRateShares();
   // Starts and stops partitions as the state cache shows their owners.
-  void FollowOwnership();
-  void StepPartitions();
+  void UpdateOwnedPartitions();
+  void RunPartitions();
   void SendHeartbeatIfDue();
   void HandOverUnreachablePartitions();
 
@@ -75,12 +75,12 @@
   // differs from that of the running Partition, that one is destroyed and, if
   // this process is the owner, a new one created; likewise the autoscaler with
   // partition 0.
-  void SetFencingToken(uint32_t number, std::optional<uint64_t> fencing_token);
+  void UpdatePartition(uint32_t number, std::optional<uint64_t> fencing_token);
   Context MakeContext(const std::string& incarnation);
 
   const Deployment deployment_;
   const Tuning tuning_;
-  Outbox out_;
+  Outbox outbox_;
   StateCache state_cache_;
   SharedRateLimits rate_limits_;
   StateWatcher state_watcher_;
--- a/src/core/jobs/job_admission.cc
+++ b/src/core/jobs/job_admission.cc
@@ -36,20 +36,20 @@
   return Admitted{};
 }
 
-JobRecord JobAdmission::FirstRecord(const JobSpec& spec) {
+JobRecord JobAdmission::CreateRecord(const JobSpec& spec) {
   JobRecord record;
   record.spec = spec;
-  record.submitted = out_.now().wall;
+  record.submitted = outbox_.now().wall;
   record.chunk_size = ChunkSize(spec);
   // The partition with the most free capacity takes the job. If it does not
   // have capacity for all tasks, the chunks are assigned to all partitions
   // round robin, unless the job constrains the tasks' places relative to each
   // other.
-  auto otherwise = static_cast<uint32_t>(
+  auto fallback = static_cast<uint32_t>(
       StableHash(spec.id, kPartitionHashSeed) % partition_count_);
   auto [home, capacity] = capacity_table_.MostFreeCapacity(
-      spec, otherwise, std::nullopt, out_.now().steady);
-  if (spec.shape == Shape::kService) home = HomeOfService(spec, home);
+      spec, fallback, std::nullopt, outbox_.now().steady);
+  if (spec.shape == Shape::kService) home = ChooseServiceHome(spec, home);
   bool constrained = spec.one_zone || spec.spread;
   bool one_partition = spec.tasks <= capacity || constrained;
   record.home = home;
@@ -79,17 +79,17 @@
 // Services with the same image share a partition as far as it has capacity:
 // most of that partition's machines soon have the image in their cache, and a
 // replica that does not have to fetch it starts several seconds sooner.
-uint32_t JobAdmission::HomeOfService(const JobSpec& spec,
-                                     uint32_t otherwise) const {
+uint32_t JobAdmission::ChooseServiceHome(const JobSpec& spec,
+                                         uint32_t fallback) const {
   auto first =
       static_cast<uint32_t>(StableHash(spec.image, kPartitionHashSeed));
   for (uint32_t n = 0; n < partition_count_; ++n) {
     uint32_t partition = (first + n) % partition_count_;
     int64_t capacity =
-        capacity_table_.Tasks(partition, spec, out_.now().steady);
+        capacity_table_.Tasks(partition, spec, outbox_.now().steady);
     if (capacity >= spec.tasks) return partition;
   }
-  return otherwise;
+  return fallback;
 }
 
 }  // namespace pitchfall
--- a/src/core/jobs/job_admission.h
+++ b/src/core/jobs/job_admission.h
@@ -34,13 +34,13 @@
  public:
   // Every decision uses the outbox's `now` as the current time.
   JobAdmission(const Deployment& deployment, const Tuning& tuning,
-               const Outbox& out, const StateCache& state_cache,
+               const Outbox& outbox, const StateCache& state_cache,
                const StateWatcher& state_watcher,
                const StateLimits& state_limits, CapacityTable& capacity_table,
                uint32_t partition_count)
       : deployment_(deployment),
         tuning_(tuning),
-        out_(out),
+        outbox_(outbox),
         state_cache_(state_cache),
         state_watcher_(state_watcher),
         state_limits_(state_limits),
@@ -56,18 +56,18 @@
   // partition takes the whole job, reserves capacity for the job in the
   // capacity table, so that jobs that are stored before the partition's owner
   // next announces its free capacity go to other partitions.
-  JobRecord FirstRecord(const JobSpec& spec);
+  JobRecord CreateRecord(const JobSpec& spec);
 
  private:
   // Returns the number of tasks in one chunk of the job.
   uint32_t ChunkSize(const JobSpec& spec) const;
-  // Returns the home partition of a service, or `otherwise` if no partition
+  // Returns the home partition of a service, or `fallback` if no partition
   // has capacity for all its replicas.
-  uint32_t HomeOfService(const JobSpec& spec, uint32_t otherwise) const;
+  uint32_t ChooseServiceHome(const JobSpec& spec, uint32_t fallback) const;
 
   const Deployment& deployment_;
   const Tuning& tuning_;
-  const Outbox& out_;
+  const Outbox& outbox_;
   const StateCache& state_cache_;
   const StateWatcher& state_watcher_;
   const StateLimits& state_limits_;
--- a/src/core/jobs/job_change_queue.cc
+++ b/src/core/jobs/job_change_queue.cc
@@ -28,7 +28,7 @@
 // Starts and results of tasks have priority, but they use up the whole write
 // budget. Once a submission has waited for this long it takes a token in
 // advance, and the next start or result waits instead.
-constexpr Duration kSubmissionPatience = Millis(40);
+constexpr Duration kSubmissionCreditDelay = Millis(40);
 // How many tokens below zero a change may take the write budget. Cancellations
 // may do so without waiting first.
 constexpr double kMaxSubmissionDebt = 2;
@@ -54,7 +54,7 @@
 // Each change takes one condition and one write of a transaction.
 constexpr size_t kOperationsPerChange = 2;
 // The revision that, in a condition, means that the key must not exist.
-constexpr uint64_t kAbsent = 0;
+constexpr uint64_t kKeyAbsent = 0;
 
 }  // namespace
 
@@ -64,26 +64,26 @@
   change.job = spec.id;
   change.spec = spec;
   change.requests.push_back(request);
-  change.since = out_.now().steady;
+  change.since = outbox_.now().steady;
   Enqueue(std::move(change));
 }
 
-void JobChangeQueue::Cancel(RequestId request, const std::string& job) {
+void JobChangeQueue::Cancel(RequestId request, const std::string& job_id) {
   PendingChange change;
   change.kind = Kind::kCancellation;
-  change.job = job;
+  change.job = job_id;
   change.requests.push_back(request);
-  change.since = out_.now().steady;
+  change.since = outbox_.now().steady;
   Enqueue(std::move(change));
 }
 
-void JobChangeQueue::Step() {
+void JobChangeQueue::RunDueWork() {
   RefuseOverdue();
   StoreNextBatch();
 }
 
 void JobChangeQueue::Enqueue(PendingChange change) {
-  if (JoinWaiting(change)) return;
+  if (MergeIntoQueued(change)) return;
   if (change.kind == Kind::kCancellation) {
     queue_.push_front(std::move(change));
     return;
@@ -101,7 +101,7 @@
 }
 
 // Repeated requests for the same change are stored once and answered together.
-bool JobChangeQueue::JoinWaiting(const PendingChange& change) {
+bool JobChangeQueue::MergeIntoQueued(const PendingChange& change) {
   for (PendingChange& waiting : queue_) {
     if (waiting.job != change.job || waiting.kind != change.kind) continue;
     waiting.requests.insert(waiting.requests.end(), change.requests.begin(),
@@ -112,7 +112,7 @@
 }
 
 void JobChangeQueue::RefuseOverdue() {
-  SteadyTime now = out_.now().steady;
+  SteadyTime now = outbox_.now().steady;
   std::erase_if(queue_, [&](const PendingChange& change) {
     if (now - change.since < kMaxQueueTime) return false;
     Refuse(change, RetryAfter());
@@ -121,7 +121,7 @@
 }
 
 void JobChangeQueue::StoreNextBatch() {
-  SteadyTime now = out_.now().steady;
+  SteadyTime now = outbox_.now().steady;
   if (storing_ || queue_.empty() || now < next_store_) return;
   Batch batch = TakeBatch(now);
   if (batch.changes.empty()) return;
@@ -134,8 +134,8 @@
                   batch = std::move(batch)](const StateReply& reply) mutable {
     OnReply(std::move(batch), reply);
   };
-  out_.CallState(std::move(transaction), tuning_.state_timeout,
-                 std::move(handler));
+  outbox_.CallState(std::move(transaction), tuning_.state_timeout,
+                    std::move(handler));
 }
 
 // Takes changes off the queue until a limit of the state service or the write
@@ -157,8 +157,8 @@
     }
     bytes += TransactionBytes(change);
     if (!batch.changes.empty() && bytes > kTransactionBytes) break;
-    if (!TakeWrite(change, submission_reserve, now)) break;
-    AddTo(batch.transaction, change);
+    if (!TakeWriteToken(change, submission_reserve, now)) break;
+    AddToTransaction(batch.transaction, change);
     batch.changes.push_back(std::move(change));
     queue_.pop_front();
   }
@@ -178,8 +178,8 @@
   return MaxRecordBytes(spec) + kOperationsPerChange * kOperationBytes;
 }
 
-bool JobChangeQueue::TakeWrite(const PendingChange& change,
-                               double submission_reserve, SteadyTime now) {
+bool JobChangeQueue::TakeWriteToken(const PendingChange& change,
+                                    double submission_reserve, SteadyTime now) {
   double reserve = change.kind == Kind::kCancellation ? -kMaxCancellationDebt
                                                       : submission_reserve;
   return state_.writes.Take(now, 1, reserve);
@@ -187,19 +187,19 @@
 
 // Returns the number of write tokens that submissions must leave. It is
 // negative, so that they may take tokens in advance, once the last change in
-// the queue has waited for kSubmissionPatience. The last change is the newest
-// submission, unless only a retried batch or cancellations are queued.
+// the queue has waited for kSubmissionCreditDelay. The last change is the
+// newest submission, unless only a retried batch or cancellations are queued.
 double JobChangeQueue::SubmissionReserve(SteadyTime now) const {
-  bool patient = now - queue_.back().since < kSubmissionPatience;
-  return patient ? 0 : -kMaxSubmissionDebt;
+  bool can_wait = now - queue_.back().since < kSubmissionCreditDelay;
+  return can_wait ? 0 : -kMaxSubmissionDebt;
 }
 
-void JobChangeQueue::AddTo(Transaction& transaction,
-                           const PendingChange& change) {
+void JobChangeQueue::AddToTransaction(Transaction& transaction,
+                                      const PendingChange& change) {
   std::string key = keys::Job(change.job);
   if (change.kind == Kind::kSubmission) {
-    transaction.conditions.push_back({key, kAbsent});
-    transaction.writes.push_back({key, admission_.FirstRecord(change.spec)});
+    transaction.conditions.push_back({key, kKeyAbsent});
+    transaction.writes.push_back({key, admission_.CreateRecord(change.spec)});
     return;
   }
   const Job* job = state_.state_cache.FindJob(change.job);
@@ -211,7 +211,7 @@
 
 void JobChangeQueue::OnReply(Batch batch, const StateReply& reply) {
   storing_ = false;
-  SteadyTime now = out_.now().steady;
+  SteadyTime now = outbox_.now().steady;
   next_store_ = now + kStoreInterval;
   switch (reply.status) {
     case http_status::kOk:
@@ -259,7 +259,7 @@
       cancelled ? JobAnswer::Status::kCancelled : JobAnswer::Status::kQueued;
   int status = cancelled ? http_status::kOk : http_status::kCreated;
   for (RequestId request : change.requests) {
-    out_.Answer(request, status, answer);
+    outbox_.Answer(request, status, answer);
   }
 }
 
@@ -270,7 +270,9 @@
 }
 
 void JobChangeQueue::Refuse(const PendingChange& change, Duration retry_after) {
-  for (RequestId request : change.requests) out_.Refuse(request, retry_after);
+  for (RequestId request : change.requests) {
+    outbox_.Refuse(request, retry_after);
+  }
 }
 
 Duration JobChangeQueue::RetryAfter() const {
--- a/src/core/jobs/job_change_queue.h
+++ b/src/core/jobs/job_change_queue.h
@@ -39,10 +39,10 @@
 // service's rate limit is exceeded, the batch is retried.
 class JobChangeQueue {
  public:
-  JobChangeQueue(const Tuning& tuning, Outbox& out, StateAccess state,
+  JobChangeQueue(const Tuning& tuning, Outbox& outbox, StateAccess state,
                  JobAdmission& admission, JobQueries& queries)
       : tuning_(tuning),
-        out_(out),
+        outbox_(outbox),
         state_(state),
         admission_(admission),
         queries_(queries) {}
@@ -54,12 +54,12 @@
 
   // Queues the cancellation of a job ahead of all submissions. The job must be
   // in the state cache.
-  void Cancel(RequestId request, const std::string& job);
+  void Cancel(RequestId request, const std::string& job_id);
 
   // Refuses changes that have waited too long, and starts to store the next
   // batch if no transaction is in flight. To be called once per batch of
   // commands.
-  void Step();
+  void RunDueWork();
 
   // Returns how many cancellations this process has stored since it started.
   uint64_t cancellations_stored() const { return cancellations_stored_; }
@@ -83,7 +83,7 @@
   void Enqueue(PendingChange change);
   // Adds the change's requests to an equal change in the queue. Returns false
   // if there is none.
-  bool JoinWaiting(const PendingChange& change);
+  bool MergeIntoQueued(const PendingChange& change);
   // Refuses and drops all changes that have waited too long.
   void RefuseOverdue();
   void StoreNextBatch();
@@ -99,10 +99,10 @@
   // Takes one write token for the change. Returns false, without taking it, if
   // fewer than `submission_reserve` would be left. For a cancellation the
   // reserve is -kMaxCancellationDebt instead.
-  bool TakeWrite(const PendingChange& change, double submission_reserve,
-                 SteadyTime now);
+  bool TakeWriteToken(const PendingChange& change, double submission_reserve,
+                      SteadyTime now);
   double SubmissionReserve(SteadyTime now) const;
-  void AddTo(Transaction& transaction, const PendingChange& change);
+  void AddToTransaction(Transaction& transaction, const PendingChange& change);
   void OnReply(Batch batch, const StateReply& reply);
   void OnStored(const Batch& batch, uint64_t revision);
   void Acknowledge(const PendingChange& change);
@@ -113,7 +113,7 @@
   Duration RetryAfter() const;
 
   const Tuning& tuning_;
-  Outbox& out_;
+  Outbox& outbox_;
   StateAccess state_;
   JobAdmission& admission_;
   JobQueries& queries_;
--- a/src/core/jobs/job_queries.cc
+++ b/src/core/jobs/job_queries.cc
@@ -18,21 +18,21 @@
 
 }  // namespace
 
-void JobQueries::Answer(RequestId request, const std::string& id,
+void JobQueries::Answer(RequestId request, const std::string& job_id,
                         TaskCounts counts) {
-  const Job* job = state_cache_.FindJob(id);
+  const Job* job = state_cache_.FindJob(job_id);
   if (job != nullptr && job->record.final()) {
     AnswerWith(request, *job, counts);
     return;
   }
   if (waiting_.size() >= kMaxWaitingQueries) {
-    out_.Refuse(request, kRetryAfterStateUnreadable);
+    outbox_.Refuse(request, kRetryAfterStateUnreadable);
     return;
   }
-  waiting_.push_back({request, id, counts, out_.now().steady});
+  waiting_.push_back({request, job_id, counts, outbox_.now().steady});
 }
 
-void JobQueries::Step() {
+void JobQueries::RunDueWork() {
   if (waiting_.empty()) return;
   // Clients must not be kept waiting while the state service does not answer.
   if (!state_watcher_.Fresh()) {
@@ -40,30 +40,30 @@
     return;
   }
   RefuseOverdue();
-  if (reading_ || waiting_.empty()) return;
-  StartRead();
+  if (read_pending_ || waiting_.empty()) return;
+  AnswerAfterNextRead();
 }
 
 void JobQueries::RefuseAll() {
   for (const WaitingQuery& query : std::exchange(waiting_, {})) {
-    out_.Refuse(query.request, kRetryAfterStateUnreadable);
+    outbox_.Refuse(query.request, kRetryAfterStateUnreadable);
   }
 }
 
 void JobQueries::RefuseOverdue() {
-  SteadyTime now = out_.now().steady;
+  SteadyTime now = outbox_.now().steady;
   std::erase_if(waiting_, [&](const WaitingQuery& query) {
     if (now - query.since < kMaxQueryWait) return false;
-    out_.Refuse(query.request, kRetryAfterStateUnreadable);
+    outbox_.Refuse(query.request, kRetryAfterStateUnreadable);
     return true;
   });
 }
 
-void JobQueries::StartRead() {
-  reading_ = true;
+void JobQueries::AnswerAfterNextRead() {
+  read_pending_ = true;
   state_watcher_.AfterNextRead(
       [this, queries = std::exchange(waiting_, {})](bool read_succeeded) {
-        reading_ = false;
+        read_pending_ = false;
         for (const WaitingQuery& query : queries) {
           AnswerFromCache(query, read_succeeded);
         }
@@ -73,12 +73,12 @@
 void JobQueries::AnswerFromCache(const WaitingQuery& query,
                                  bool read_succeeded) {
   if (!read_succeeded) {
-    out_.Refuse(query.request, kRetryAfterStateUnreadable);
+    outbox_.Refuse(query.request, kRetryAfterStateUnreadable);
     return;
   }
   const Job* job = state_cache_.FindJob(query.job);
   if (job == nullptr) {
-    out_.Answer(query.request, http_status::kNotFound, Problem{kNoSuchJob});
+    outbox_.Answer(query.request, http_status::kNotFound, Problem{kNoSuchJob});
     return;
   }
   AnswerWith(query.request, *job, query.counts);
@@ -86,8 +86,8 @@
 
 void JobQueries::AnswerWith(RequestId request, const Job& job,
                             TaskCounts counts) {
-  out_.Answer(request, http_status::kOk,
-              Describe(job, counts == TaskCounts::kInclude));
+  outbox_.Answer(request, http_status::kOk,
+                 Describe(job, counts == TaskCounts::kInclude));
 }
 
 }  // namespace pitchfall
--- a/src/core/jobs/job_queries.h
+++ b/src/core/jobs/job_queries.h
@@ -28,19 +28,21 @@
 // share one read.
 class JobQueries {
  public:
-  JobQueries(Outbox& out, const StateCache& state_cache,
+  JobQueries(Outbox& outbox, const StateCache& state_cache,
              StateWatcher& state_watcher)
-      : out_(out), state_cache_(state_cache), state_watcher_(state_watcher) {}
+      : outbox_(outbox),
+        state_cache_(state_cache),
+        state_watcher_(state_watcher) {}
 
   // Answers `request`, now or later: with 200 and the job's state, with 404 if
   // no such job is stored, or with 503 and Retry-After if the state service
   // cannot be read in time or too many queries are waiting already.
-  void Answer(RequestId request, const std::string& job, TaskCounts counts);
+  void Answer(RequestId request, const std::string& job_id, TaskCounts counts);
 
   // Refuses the queries that have waited too long, or all of them while the
   // state cache is out of date, and requests a read for the others if none is
   // pending. To be called once per batch of commands.
-  void Step();
+  void RunDueWork();
 
  private:
   struct WaitingQuery {
@@ -58,15 +60,15 @@
   // Refuses and drops the queries in `waiting_` that have waited too long.
   void RefuseOverdue();
   // Requests a read and answers all queries in `waiting_` after it.
-  void StartRead();
+  void AnswerAfterNextRead();
 
-  Outbox& out_;
+  Outbox& outbox_;
   const StateCache& state_cache_;
   StateWatcher& state_watcher_;
   // Queries for which no read has been requested yet.
   std::vector<WaitingQuery> waiting_;
   // Whether a read is pending, for queries that are no longer in `waiting_`.
-  bool reading_ = false;
+  bool read_pending_ = false;
 };
 
 }  // namespace pitchfall
--- a/src/core/jobs/job_requests.cc
+++ b/src/core/jobs/job_requests.cc
@@ -9,7 +9,7 @@
 namespace pitchfall {
 
 JobRequests::JobRequests(Context& context)
-    : out_(context.out),
+    : outbox_(context.out),
       state_cache_(context.state_cache),
       state_watcher_(context.state_watcher),
       queries_(context.out, context.state_cache, context.state_watcher),
@@ -30,58 +30,58 @@
   }
   AdmissionDecision decision = admission_.Check(spec);
   if (const auto* rejection = std::get_if<Rejection>(&decision)) {
-    out_.Answer(request, http_status::kUnprocessableContent,
-                Problem{rejection->message});
+    outbox_.Answer(request, http_status::kUnprocessableContent,
+                   Problem{rejection->message});
     return;
   }
   if (const auto* later = std::get_if<RetryLater>(&decision)) {
-    out_.Refuse(request, later->retry_after);
+    outbox_.Refuse(request, later->retry_after);
     return;
   }
   changes_.Submit(request, spec);
 }
 
-void JobRequests::Poll(RequestId request, const std::string& id) {
-  queries_.Answer(request, id, TaskCounts::kInclude);
+void JobRequests::Poll(RequestId request, const std::string& job_id) {
+  queries_.Answer(request, job_id, TaskCounts::kInclude);
 }
 
-void JobRequests::Cancel(RequestId request, const std::string& id) {
-  const Job* job = state_cache_.FindJob(id);
+void JobRequests::Cancel(RequestId request, const std::string& job_id) {
+  const Job* job = state_cache_.FindJob(job_id);
   if (job != nullptr && job->record.final()) {
-    queries_.Answer(request, id, TaskCounts::kOmit);
+    queries_.Answer(request, job_id, TaskCounts::kOmit);
     return;
   }
   if (!state_watcher_.Fresh()) {
-    out_.Refuse(request, kRetryAfterStateUnreadable);
+    outbox_.Refuse(request, kRetryAfterStateUnreadable);
     return;
   }
   if (job == nullptr) {
-    CancelAfterNextRead(request, id);
+    CancelAfterNextRead(request, job_id);
     return;
   }
-  changes_.Cancel(request, id);
+  changes_.Cancel(request, job_id);
 }
 
 // Another controller may have stored the job so recently that only the next
 // read shows it.
 void JobRequests::CancelAfterNextRead(RequestId request,
-                                      const std::string& id) {
-  state_watcher_.AfterNextRead([this, request, id](bool read_succeeded) {
+                                      const std::string& job_id) {
+  state_watcher_.AfterNextRead([this, request, job_id](bool read_succeeded) {
     if (!read_succeeded) {
-      out_.Refuse(request, kRetryAfterStateUnreadable);
+      outbox_.Refuse(request, kRetryAfterStateUnreadable);
       return;
     }
-    if (state_cache_.FindJob(id) == nullptr) {
-      out_.Answer(request, http_status::kNotFound, Problem{kNoSuchJob});
+    if (state_cache_.FindJob(job_id) == nullptr) {
+      outbox_.Answer(request, http_status::kNotFound, Problem{kNoSuchJob});
       return;
     }
-    changes_.Cancel(request, id);
+    changes_.Cancel(request, job_id);
   });
 }
 
-void JobRequests::Step() {
-  queries_.Step();
-  changes_.Step();
+void JobRequests::RunDueWork() {
+  queries_.RunDueWork();
+  changes_.RunDueWork();
 }
 
 }  // namespace pitchfall
--- a/tests/jobs_test.cc
+++ b/tests/jobs_test.cc
@@ -214,7 +214,7 @@
 TEST_F(JobQueriesTest, AnswersAnOpenJobAsTheNextReadShowsIt) {
   state_cache_.Apply(StoredJob(ArrayJob(kJob)));
   queries_.Answer(1, kJob, TaskCounts::kOmit);
-  queries_.Step();
+  queries_.RunDueWork();
   EXPECT_EQ(StatusOf(1), http_status::kNoAnswer);
   Read(http_status::kOk, {StoredJob(ArrayJob(kJob), JobState::kCancelled)});
   ASSERT_EQ(StatusOf(1), http_status::kOk);
@@ -227,7 +227,7 @@
   Advance(Millis(300));
   watcher_.Step();
   queries_.Answer(1, kJob, TaskCounts::kInclude);
-  queries_.Step();
+  queries_.RunDueWork();
   AnswerState(http_status::kOk);
   EXPECT_EQ(StatusOf(1), http_status::kNoAnswer);
   Read(http_status::kOk);
@@ -236,7 +236,7 @@
 
 TEST_F(JobQueriesTest, RefusesWhenTheReadFails) {
   queries_.Answer(1, kJob, TaskCounts::kInclude);
-  queries_.Step();
+  queries_.RunDueWork();
   Read(http_status::kNoAnswer);
   EXPECT_EQ(StatusOf(1), http_status::kServiceUnavailable);
   EXPECT_EQ(RetryAfterOf(1), Millis(2000));
@@ -245,19 +245,19 @@
 TEST_F(JobQueriesTest, RefusesAllWhileTheStateIsStale) {
   Advance(Seconds(3));
   queries_.Answer(1, kJob, TaskCounts::kInclude);
-  queries_.Step();
+  queries_.RunDueWork();
   EXPECT_EQ(StatusOf(1), http_status::kServiceUnavailable);
 }
 
 TEST_F(JobQueriesTest, RefusesAQueryThatWaitsLongerThanItsClient) {
   queries_.Answer(1, kJob, TaskCounts::kInclude);
-  queries_.Step();  // waits for a read that does not begin
+  queries_.RunDueWork();  // waits for a read that does not begin
   queries_.Answer(2, kJob, TaskCounts::kInclude);
   Advance(Millis(1499));
-  queries_.Step();
+  queries_.RunDueWork();
   EXPECT_EQ(StatusOf(2), http_status::kNoAnswer);
   Advance(Millis(1));
-  queries_.Step();
+  queries_.RunDueWork();
   EXPECT_EQ(StatusOf(2), http_status::kServiceUnavailable);
 }
 
@@ -313,40 +313,40 @@
 
 TEST_F(JobAdmissionTest, CutsChunksByTheShapeOfTheJob) {
   JobSpec spec = ArrayJob(kJob, 130);
-  EXPECT_EQ(admission_.FirstRecord(spec).chunk_size, tuning_.chunk_tasks);
+  EXPECT_EQ(admission_.CreateRecord(spec).chunk_size, tuning_.chunk_tasks);
   spec.shape = Shape::kGang;
-  EXPECT_EQ(admission_.FirstRecord(spec).chunk_size, 130u);
+  EXPECT_EQ(admission_.CreateRecord(spec).chunk_size, 130u);
   spec.shape = Shape::kService;
-  EXPECT_EQ(admission_.FirstRecord(spec).chunk_size, 3u);  // 64 chunks at most
+  EXPECT_EQ(admission_.CreateRecord(spec).chunk_size, 3u);  // 64 chunks at most
 }
 
 TEST_F(JobAdmissionTest, ReservesTheCapacityOfThePartitionItChooses) {
   SetFree(1, 4);
   SetFree(2, 6);
-  JobRecord first = admission_.FirstRecord(ArrayJob(kJob, 4));
+  JobRecord first = admission_.CreateRecord(ArrayJob(kJob, 4));
   EXPECT_EQ(first.home, 2u);
   EXPECT_EQ(first.spread_over, 1u);
   EXPECT_EQ(first.submitted, now_.wall);
-  EXPECT_EQ(admission_.FirstRecord(ArrayJob(kOtherJob, 4)).home, 1u);
+  EXPECT_EQ(admission_.CreateRecord(ArrayJob(kOtherJob, 4)).home, 1u);
 }
 
 TEST_F(JobAdmissionTest, SpreadsAJobThatNoPartitionHasCapacityFor) {
   SetFree(1, 4);
   JobSpec spec = ArrayJob(kJob, 5);
-  JobRecord record = admission_.FirstRecord(spec);
+  JobRecord record = admission_.CreateRecord(spec);
   EXPECT_EQ(record.home, 1u);
   EXPECT_EQ(record.spread_over, kPartitionCount);
   spec.one_zone = true;
-  EXPECT_EQ(admission_.FirstRecord(spec).spread_over, 1u);
+  EXPECT_EQ(admission_.CreateRecord(spec).spread_over, 1u);
 }
 
 TEST_F(JobAdmissionTest, ServicesWithOneImageShareAPartition) {
   for (uint32_t n = 0; n < kPartitionCount; ++n) SetFree(n, 100 + n);
   JobSpec service = ArrayJob(kJob);
   service.shape = Shape::kService;
-  uint32_t home = admission_.FirstRecord(service).home;
+  uint32_t home = admission_.CreateRecord(service).home;
   service.id = kOtherJob;
-  EXPECT_EQ(admission_.FirstRecord(service).home, home);
+  EXPECT_EQ(admission_.CreateRecord(service).home, home);
 }
 
 // ---- The queue of changes ----
@@ -355,7 +355,7 @@
 
 TEST_F(JobChangeQueueTest, AcknowledgesASubmissionOnceItIsStored) {
   queue_.Submit(1, ArrayJob(kJob));
-  queue_.Step();
+  queue_.RunDueWork();
   const Transaction& transaction = SentTransaction();
   ASSERT_EQ(transaction.conditions.size(), 1u);
   EXPECT_EQ(transaction.conditions[0].key, keys::Job(kJob));
@@ -369,7 +369,7 @@
 TEST_F(JobChangeQueueTest, StoresARepeatedSubmissionOnce) {
   queue_.Submit(1, ArrayJob(kJob));
   queue_.Submit(2, ArrayJob(kJob));
-  queue_.Step();
+  queue_.RunDueWork();
   EXPECT_EQ(SentTransaction().writes.size(), 1u);
   AnswerState(http_status::kOk);
   EXPECT_EQ(StatusOf(1), http_status::kCreated);
@@ -381,7 +381,7 @@
   uint64_t mod_revision = revision_;
   queue_.Submit(1, ArrayJob(kOtherJob));
   queue_.Cancel(2, kJob);
-  queue_.Step();
+  queue_.RunDueWork();
   const Transaction& transaction = SentTransaction();
   ASSERT_EQ(transaction.conditions.size(), 2u);
   EXPECT_EQ(transaction.conditions[0].key, keys::Job(kJob));
@@ -395,11 +395,11 @@
 TEST_F(JobChangeQueueTest, AfterAConflictAnswersWithWhatTheOtherStored) {
   queue_.Submit(1, ArrayJob(kJob));
   queue_.Submit(2, ArrayJob(kOtherJob));
-  queue_.Step();
+  queue_.RunDueWork();
   AnswerState(http_status::kConflict);
   EXPECT_EQ(StatusOf(1), http_status::kNoAnswer);
   Read(http_status::kOk, {StoredJob(ArrayJob(kJob), JobState::kDone)});
-  queue_.Step();
+  queue_.RunDueWork();
   EXPECT_EQ(StatusOf(1), http_status::kOk);
   ASSERT_EQ(SentTransaction().writes.size(), 1u);
   EXPECT_EQ(SentTransaction().writes[0].key, keys::Job(kOtherJob));
@@ -407,15 +407,15 @@
 
 TEST_F(JobChangeQueueTest, TriesAgainAfterTheRateWasUsedUp) {
   queue_.Submit(1, ArrayJob(kJob));
-  queue_.Step();
+  queue_.RunDueWork();
   AnswerState(http_status::kTooManyRequests);
   EXPECT_LE(writes_.Available(now_.steady), 0);
   Advance(Millis(99));
-  queue_.Step();
+  queue_.RunDueWork();
   CollectEffects();
   EXPECT_TRUE(calls_.empty());
   Advance(Millis(1));
-  queue_.Step();
+  queue_.RunDueWork();
   AnswerState(http_status::kOk);
   EXPECT_EQ(StatusOf(1), http_status::kCreated);
 }
@@ -423,7 +423,7 @@
 // The outcome is unknown; the client's next submission finds out.
 TEST_F(JobChangeQueueTest, RefusesWhenTheStateServiceDoesNotAnswer) {
   queue_.Submit(1, ArrayJob(kJob));
-  queue_.Step();
+  queue_.RunDueWork();
   AnswerState(http_status::kNoAnswer);
   EXPECT_EQ(StatusOf(1), http_status::kServiceUnavailable);
   EXPECT_EQ(RetryAfterOf(1), Millis(1000));
@@ -432,10 +432,10 @@
 
 TEST_F(JobChangeQueueTest, KeepsOneTransactionUnderWay) {
   queue_.Submit(1, ArrayJob(kJob));
-  queue_.Step();
+  queue_.RunDueWork();
   queue_.Submit(2, ArrayJob(kOtherJob));
   Advance(Seconds(1));
-  queue_.Step();
+  queue_.RunDueWork();
   CollectEffects();
   EXPECT_EQ(calls_.size(), 1u);
 }
@@ -445,10 +445,10 @@
   writes_.Take(now_.steady, 2, -2);  // as far below zero as submissions go
   queue_.Submit(1, ArrayJob(kJob));
   Advance(Millis(2499));
-  queue_.Step();
+  queue_.RunDueWork();
   EXPECT_EQ(StatusOf(1), http_status::kNoAnswer);
   Advance(Millis(1));
-  queue_.Step();
+  queue_.RunDueWork();
   EXPECT_EQ(StatusOf(1), http_status::kServiceUnavailable);
   EXPECT_EQ(RetryAfterOf(1),
             Seconds(2));  // one change at half a change a second
@@ -459,11 +459,11 @@
   writes_.SetRate(0, 0);
   queue_.Submit(1, ArrayJob(kJob));
   Advance(Millis(39));
-  queue_.Step();
+  queue_.RunDueWork();
   CollectEffects();
   EXPECT_TRUE(calls_.empty());
   Advance(Millis(1));
-  queue_.Step();
+  queue_.RunDueWork();
   EXPECT_EQ(SentTransaction().writes.size(), 1u);
 }
 
@@ -471,7 +471,7 @@
   state_cache_.Apply(StoredJob(ArrayJob(kJob)));
   writes_.SetRate(0, 0);
   queue_.Cancel(1, kJob);
-  queue_.Step();
+  queue_.RunDueWork();
   EXPECT_EQ(SentTransaction().writes.size(), 1u);
 }
 
@@ -490,7 +490,7 @@
   for (RequestId request = 1; request <= operations + 1; ++request) {
     queue_.Submit(request, ArrayJob("run-" + std::to_string(request)));
   }
-  queue_.Step();
+  queue_.RunDueWork();
   EXPECT_EQ(SentTransaction().writes.size(), operations);
 }
 
@@ -525,11 +525,11 @@
 
 TEST_F(JobRequestsTest, SubmissionsAreIdempotent) {
   job_requests_.Submit(1, ArrayJob(kJob));
-  job_requests_.Step();
+  job_requests_.RunDueWork();
   AnswerState(http_status::kOk);
   ASSERT_EQ(StatusOf(1), http_status::kCreated);
   job_requests_.Submit(2, ArrayJob(kJob));
-  job_requests_.Step();
+  job_requests_.RunDueWork();
   EXPECT_TRUE(calls_.empty());
   Read(http_status::kOk);
   EXPECT_EQ(StatusOf(2), http_status::kOk);
@@ -539,7 +539,7 @@
   job_requests_.Cancel(1, kJob);
   Read(http_status::kOk, {StoredJob(ArrayJob(kJob))});
   EXPECT_EQ(StatusOf(1), http_status::kNoAnswer);
-  job_requests_.Step();
+  job_requests_.RunDueWork();
   AnswerState(http_status::kOk);
   EXPECT_EQ(StatusOf(1), http_status::kOk);
   EXPECT_EQ(job_requests_.cancellations_stored(), 1u);
