--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -24,7 +24,9 @@
 
 // Dispatches each command to the component that handles it, then lets every
 // component do the work that is due. Starts and stops the partitions and the
-// autoscaler that run in this process; all other policy is in the components.
+// autoscaler that run in this process, chooses the order in which partitions
+// run, and closes refused connections while it is unhealthy. Everything else is
+// decided by the components.
 class Controller {
  public:
   // `incarnation` identifies this process. It must differ from that of every
@@ -50,16 +52,20 @@
   void HandleCommand(const CancelJob& command) {
     job_requests_.Cancel(command.request, command.job);
   }
+  // Answers with 200 if this controller is healthy (see Peers::Healthy), or
+  // else with 503 and Retry-After.
   void HandleCommand(const HealthCheck& command);
   void HandleCommand(const ReceiveWorkerHeartbeat& command);
   void HandleCommand(const StateReply& reply) { outbox_.Handle(reply); }
   void HandleCommand(const CloudReply& reply) { outbox_.Handle(reply); }
   void HandleCommand(const WorkerReply& reply) { outbox_.Handle(reply); }
   void HandleCommand(const PeerHeartbeat& heartbeat);
+  // A tick only makes the work run that every batch is followed by.
   void HandleCommand(const Tick&) {}
 
   // The steps that follow the commands of a batch, in the order in which they
   // run.
+  // Sets this controller's share of the rate limits by what the others use.
   void UpdateRateShares();
   // Starts and stops partitions as the state cache shows their owners.
   void UpdateOwnedPartitions();
--- a/src/core/jobs/job_change_queue.h
+++ b/src/core/jobs/job_change_queue.h
@@ -103,10 +103,16 @@
                       SteadyTime now);
   double SubmissionReserve(SteadyTime now) const;
   void AddToTransaction(Transaction& transaction, const PendingChange& change);
+  // Acknowledges, requeues or refuses the batch, depending on the reply.
   void OnReply(Batch batch, const StateReply& reply);
+  // Applies a batch that was stored at `revision` to the state cache and
+  // acknowledges its changes.
   void OnStored(const Batch& batch, uint64_t revision);
+  // Answers the change's requests: 201 for a submission, 200 for a
+  // cancellation.
   void Acknowledge(const PendingChange& change);
   void Requeue(std::vector<PendingChange> changes);
+  // Answers the change's requests with 503 and Retry-After.
   void Refuse(const PendingChange& change, Duration retry_after);
   // Returns the Retry-After of a refusal: the estimated time until the present
   // queue has been stored.
