--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -60,11 +60,13 @@
   void HandleCommand(const CloudReply& reply) { outbox_.Handle(reply); }
   void HandleCommand(const WorkerReply& reply) { outbox_.Handle(reply); }
   void HandleCommand(const PeerHeartbeat& heartbeat);
-  // A tick only makes the work run that every batch is followed by.
+  // A tick needs no handling of its own: it only triggers the work that follows
+  // every batch.
   void HandleCommand(const Tick&) {}
 
   // The steps that follow the commands of a batch, in the order in which they
   // run.
+
   // Sets this controller's share of the rate limits by what the others use.
   void UpdateRateShares();
   // Starts and stops partitions as the state cache shows their owners.
@@ -76,11 +78,10 @@
   // Logs an error if the state holds partitions beyond the configured count.
   // Only the first call checks.
   void CheckStoredPartitionCount();
-  // Brings what runs here of a partition in line with its ownership.
-  // `fencing_token` is empty if this process does not own the partition. If it
-  // differs from that of the running Partition, that one is destroyed and, if
-  // this process is the owner, a new one created; likewise the autoscaler with
-  // partition 0.
+  // Replaces the Partition object after the partition's owner has changed.
+  // `fencing_token` is that of this process's ownership; it is empty if this
+  // process is not the owner, and then no object remains. The autoscaler is
+  // replaced together with partition 0.
   void UpdatePartition(uint32_t number, std::optional<uint64_t> fencing_token);
   Context MakeContext(const std::string& incarnation);
 
