--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -1,4 +1,5 @@
-// The whole controller without its sockets: commands in, effects out.
+// The controller without network input and output: it takes commands and
+// returns effects.
 #ifndef PITCHFALL_CORE_CONTROLLER_H_
 #define PITCHFALL_CORE_CONTROLLER_H_
 
@@ -21,54 +22,72 @@
 
 namespace pitchfall {
 
-// Hands each command to the component that it is for, then lets every component
-// do its next step. Decides nothing itself beyond which partitions run here.
+// Dispatches each command to the component that handles it, then lets every
+// component do the work that is due. Starts and stops the partitions and the
+// autoscaler that run in this process, chooses the order in which partitions
+// run, and closes refused connections while it is unhealthy. Everything else is
+// decided by the components.
 class Controller {
  public:
-  // `incarnation` must differ from that of every process that ever ran.
+  // `incarnation` identifies this process. It must differ from that of every
+  // other process that ever ran.
   Controller(Deployment deployment, Tuning tuning,
              const std::string& incarnation);
 
-  // Works through a batch of commands at one moment and returns what is to be
-  // done. A Tick should come at least every few tens of milliseconds.
+  // Handles a batch of commands, all at the time `now`, and returns the effects
+  // that the caller must carry out. Work without a command of its own depends
+  // on regular calls: a Tick should arrive at least every few tens of
+  // milliseconds.
   std::vector<Effect> Handle(Now now, std::span<const Command> commands);
 
   const StateCache& state_cache() const { return state_cache_; }
 
  private:
-  void On(const SubmitJob& command) {
+  void HandleCommand(const SubmitJob& command) {
     job_requests_.Submit(command.request, command.spec);
   }
-  void On(const PollJob& command) {
+  void HandleCommand(const PollJob& command) {
     job_requests_.Poll(command.request, command.job);
   }
-  void On(const CancelJob& command) {
+  void HandleCommand(const CancelJob& command) {
     job_requests_.Cancel(command.request, command.job);
   }
-  void On(const HealthCheck& command);
-  void On(const ReceiveWorkerHeartbeat& command);
-  void On(const StateReply& reply) { out_.Handle(reply); }
-  void On(const CloudReply& reply) { out_.Handle(reply); }
-  void On(const WorkerReply& reply) { out_.Handle(reply); }
-  void On(const PeerHeartbeat& heartbeat);
-  void On(const Tick&) {}
+  // Answers with 200 if this controller is healthy (see Peers::Healthy), or
+  // else with 503 and Retry-After.
+  void HandleCommand(const HealthCheck& command);
+  void HandleCommand(const ReceiveWorkerHeartbeat& command);
+  void HandleCommand(const StateReply& reply) { outbox_.Handle(reply); }
+  void HandleCommand(const CloudReply& reply) { outbox_.Handle(reply); }
+  void HandleCommand(const WorkerReply& reply) { outbox_.Handle(reply); }
+  void HandleCommand(const PeerHeartbeat& heartbeat);
+  // A tick needs no handling of its own: it only triggers the work that follows
+  // every batch.
+  void HandleCommand(const Tick&) {}
 
-  // The steps of a batch, in their order.
+  // The steps that follow the commands of a batch, in the order in which they
+  // run.
+
+  // Sets this controller's share of the rate limits by what the others use.
   void UpdateRateShares();
-  void FollowOwnership();
-  void StepPartitions();
+  // Starts and stops partitions as the state cache shows their owners.
+  void UpdateOwnedPartitions();
+  void RunPartitions();
   void SendHeartbeatIfDue();
   void HandOverUnreachablePartitions();
 
-  // Reports once if the state holds partitions beyond the configured count.
+  // Logs an error if the state holds partitions beyond the configured count.
+  // Only the first call checks.
   void CheckStoredPartitionCount();
-  // Replaces what runs here of a partition after its owner has changed.
-  void SetFencingToken(uint32_t number, std::optional<uint64_t> fencing_token);
+  // Replaces the Partition object after the partition's owner has changed.
+  // `fencing_token` is that of this process's ownership; it is empty if this
+  // process is not the owner, and then no object remains. The autoscaler is
+  // replaced together with partition 0.
+  void UpdatePartition(uint32_t number, std::optional<uint64_t> fencing_token);
   Context MakeContext(const std::string& incarnation);
 
   const Deployment deployment_;
   const Tuning tuning_;
-  Outbox out_;
+  Outbox outbox_;
   StateCache state_cache_;
   SharedRateLimits rate_limits_;
   StateWatcher state_watcher_;
@@ -77,8 +96,10 @@
   Peers peers_;
   MisroutedWorkers misrouted_workers_;
   JobRequests job_requests_;
-  std::map<uint32_t, std::unique_ptr<Partition>> partitions_;  // owned here
-  std::optional<Autoscaler> autoscaler_;  // while this controller leads
+  // The partitions that this process owns, by number.
+  std::map<uint32_t, std::unique_ptr<Partition>> partitions_;
+  // Empty unless this controller is the leader.
+  std::optional<Autoscaler> autoscaler_;
   bool partition_count_checked_ = false;
 };
 
