--- a/src/core/state/cancellation_watermark.cc
+++ b/src/core/state/cancellation_watermark.cc
@@ -5,11 +5,12 @@
 namespace pitchfall {
 namespace {
 
-// Steady clocks of two machines differ by as much as 0.05%; this allows for
-// twice that.
+// The rates of two machines' steady clocks differ by up to 0.05%. The divisor
+// allows for twice that (1/1000 = 0.1%).
 constexpr int64_t kMaxDriftDivisor = 1000;
 
-// The least that can have passed here while `elapsed` passed on another clock.
+// Returns the shortest time that can have passed on this process's clock while
+// `elapsed` passed on another machine's clock.
 Duration LessDrift(Duration elapsed) {
   return elapsed - elapsed / kMaxDriftDivisor;
 }
@@ -21,11 +22,13 @@
                                             SteadyTime current_as_of) {
   auto echoed = echoed_.find(heartbeat.label);
   if (echoed == echoed_.end()) return;
-  // What the peer's earlier incarnations confirmed after the last read here is
-  // known neither to the peer nor here.
+  // If the peer started after the last read here began, its earlier
+  // incarnations may have confirmed cancellations that neither the peer nor
+  // this process knows.
   if (LessDrift(heartbeat.uptime) < now - current_as_of) return;
   for (const PeerHeartbeat::Echo& echo : heartbeat.echoes) {
-    // An earlier incarnation's times are of another clock.
+    // Times sent by an earlier incarnation of this process are readings of a
+    // different steady clock.
     if (!EchoesThisProcess(echo) || echo.sender_time > now) continue;
     echoed->second = std::max(echoed->second, echo.sender_time);
   }
@@ -38,7 +41,8 @@
 
 SteadyTime CancellationWatermark::CancellationsKnownUntil(
     SteadyTime current_as_of, SteadyTime now) const {
-  // Without peers, this process knows all that has been confirmed.
+  // Without peers, only this process confirms cancellations, so it knows all
+  // of them.
   SteadyTime echoed_by_all = now;
   for (const auto& [label, echoed] : echoed_) {
     echoed_by_all = std::min(echoed_by_all, echoed);
--- a/src/core/state/context.h
+++ b/src/core/state/context.h
@@ -1,4 +1,4 @@
-// What the parts of the core share within one controller.
+// The objects that all components of one controller share.
 #ifndef PITCHFALL_CORE_STATE_CONTEXT_H_
 #define PITCHFALL_CORE_STATE_CONTEXT_H_
 
@@ -17,24 +17,29 @@
 
 namespace pitchfall {
 
+// References to the controller's shared objects, and state that several
+// components read and update. The controller owns what is referred to and
+// outlives every component that holds a context.
 struct Context {
   const Deployment& deployment;
   const Tuning& tuning;
   Outbox& out;
   StateCache& state_cache;
   StateWatcher& state_watcher;
-  TokenBucket& requests;     // to the state service
-  TokenBucket& writes;       // puts and deletes there
-  TokenBucket& cloud;        // calls to the cloud
-  std::string incarnation;   // names this process among all that ever ran
-  uint32_t partition_count;  // how many there are
+  TokenBucket& requests;     // limits requests to the state service
+  TokenBucket& writes;       // limits puts and deletes in the state service
+  TokenBucket& cloud;        // limits calls to the cloud
+  std::string incarnation;   // differs for every process that ever ran
+  uint32_t partition_count;  // partitions of the whole deployment
   CapacityTable capacity_table;
   CancellationWatermark cancellation_watermark;
-  StateLimits state_limits;  // of every write
-  // Jobs that another controller has stored as cancelled and whose records here
-  // do not show it yet. Cancelled jobs stay so, whatever is heard later.
+  StateLimits state_limits;  // apply to every write to the state service
+  // Jobs that another controller has stored as cancelled while the cached
+  // record does not show it yet. A cancellation is never undone, so an entry
+  // holds until the cached record is final.
   std::set<std::string> cancelled_by_peers{};
 
+  // The steady time at which the current batch of commands is handled.
   SteadyTime now() const { return out.now().steady; }
 };
 
--- a/src/core/state/live_bytes.h
+++ b/src/core/state/live_bytes.h
@@ -1,4 +1,5 @@
-// How much of what a partition's ring of segments holds is in use.
+// Estimates how much of a partition's ring of segments is occupied by live
+// records.
 #ifndef PITCHFALL_CORE_STATE_LIVE_BYTES_H_
 #define PITCHFALL_CORE_STATE_LIVE_BYTES_H_
 
@@ -10,17 +11,19 @@
 
 namespace pitchfall {
 
-// Estimates how many bytes the newest versions of each partition's chunks take;
-// older versions do not count. The size of the ring follows from it.
+// Estimates how many bytes the newest versions of each partition's chunk
+// records take; older versions do not count. The size of the ring depends on
+// the result.
 class LiveBytes {
  public:
   void Add(const Job::Chunk& chunk) {
     bytes_[chunk.partition] += EstimateOf(chunk);
   }
-  // Precondition: the chunk has been added as it is now.
+  // Precondition: the chunk has been added and has not changed since.
   void Remove(const Job::Chunk& chunk) {
     bytes_[chunk.partition] -= EstimateOf(chunk);
   }
+  // The estimate for one partition; 0 if no chunk of it was ever added.
   size_t In(uint32_t partition) const {
     auto found = bytes_.find(partition);
     return found == bytes_.end() ? 0 : static_cast<size_t>(found->second);
@@ -28,6 +31,7 @@
 
  private:
   static int64_t EstimateOf(const Job::Chunk& chunk) {
+    // Typical sizes of a record without assignments and of one assignment.
     constexpr int64_t kChunkBytes = 40;
     constexpr int64_t kAssignmentBytes = 20;
     auto assigned = static_cast<int64_t>(chunk.record.assigned.size());
--- a/src/core/state/recent_cancellations.h
+++ b/src/core/state/recent_cancellations.h
@@ -1,4 +1,4 @@
-// The cancellations that controllers tell each other of in heartbeats.
+// The cancellations that a controller reports to its peers in heartbeats.
 #ifndef PITCHFALL_CORE_STATE_RECENT_CANCELLATIONS_H_
 #define PITCHFALL_CORE_STATE_RECENT_CANCELLATIONS_H_
 
@@ -12,24 +12,29 @@
 
 namespace pitchfall {
 
-// Cancelled jobs by the revision of their cancellation. Only the newest are
-// kept, so that memory stays bounded.
+// Cancelled jobs, ordered by the revision of their cancellation. Only the
+// newest kMaxKept are kept, so that memory stays bounded.
 class RecentCancellations {
  public:
-  // More than controllers tell each other of at once.
+  // Greater than the number of cancellations that one heartbeat may list.
   static constexpr size_t kMaxKept = 1000;
 
-  // Notes a cancellation; the oldest one is dropped if there are too many.
+  // Adds a cancellation, and drops the oldest one if there are more than
+  // kMaxKept.
   void Add(uint64_t mod_revision, const std::string& job);
 
-  // The jobs cancelled after the revision, oldest first. None if there are more
-  // than `max_count`, or if some of them may have been dropped.
+  // Returns the jobs cancelled after the revision, oldest first. Returns
+  // nullopt if there are more than `max_count`, or if some of them may have
+  // been dropped.
   std::optional<std::vector<std::string>> Since(uint64_t revision,
                                                 size_t max_count) const;
 
  private:
+  // Revision of the cancellation, and job.
   std::set<std::pair<uint64_t, std::string>> jobs_;
-  uint64_t complete_after_ = 0;  // up to here some have been dropped
+  // Cancellations up to this revision may have been dropped; all later ones are
+  // present. 0 if none has been dropped.
+  uint64_t complete_after_ = 0;
 };
 
 }  // namespace pitchfall
--- a/src/core/state/state_limits.h
+++ b/src/core/state/state_limits.h
@@ -1,10 +1,11 @@
-// What the state service accepts in one write. Every writer asks here, so that
-// all records and transactions follow the same bounds.
+// The largest values and transactions that the state service accepts. All
+// components that write to it use these limits.
 //
-// The deployment may announce limits that will hold from some unknown moment
-// on. The smaller of the present and the announced ones apply from the first
-// write. If the service refuses a write for its size all the same, the bounds
-// are halved until writes pass, and return step by step.
+// The deployment may announce limits that will take effect at an unknown time.
+// The smaller of the current and the announced limits therefore apply from the
+// first write on. If the service still rejects a write for its size, the limits
+// are halved until writes succeed, and are doubled again step by step after
+// that.
 #ifndef PITCHFALL_CORE_STATE_STATE_LIMITS_H_
 #define PITCHFALL_CORE_STATE_STATE_LIMITS_H_
 
@@ -15,8 +16,8 @@
 
 namespace pitchfall {
 
-// The present bounds of values and transactions, with what became of writes so
-// far.
+// The current limits of values and transactions, adapted to the outcomes of
+// previous writes.
 class StateLimits {
  public:
   explicit StateLimits(const Deployment& deployment)
@@ -24,27 +25,31 @@
             deployment.StrictestStateLimits().value_kb * kBytesInKb)),
         operations_(deployment.StrictestStateLimits().txn_ops) {}
 
-  // The largest value in bytes, counted as the service's JSON.
+  // The largest size of one value, in bytes of the service's JSON encoding.
   size_t ValueBytes() const {
     return std::max(kMinValueBytes, value_bytes_ >> reductions_);
   }
-  // The same less a reserve for what counting in advance may miss.
+  // ValueBytes() less a reserve for inaccuracy when the size of a value is
+  // estimated before it is encoded.
   size_t UsableValueBytes() const {
     return ValueBytes() * kUsablePercent / 100;
   }
-  // Puts and deletes in one transaction.
+  // The largest number of puts and deletes in one transaction.
   size_t Operations() const {
     return std::max(kMinOperations, operations_ >> reductions_);
   }
-  // Whether the bounds are lower than the deployment says.
+  // Whether the limits are lower than those of the deployment because writes
+  // were rejected.
   bool Reduced() const { return reductions_ > 0; }
 
-  // The service answered 400: the write was larger than it takes.
+  // To be called when the service rejects a write as too large (status 400).
+  // Halves the limits.
   void OnRefused() {
     reductions_ = std::min(reductions_ + 1, kMaxReductions);
     accepted_ = 0;
   }
-  // The service has taken a write.
+  // To be called when the service has carried out a write. Doubles reduced
+  // limits after kAcceptedBeforeIncrease of them.
   void OnAccepted() {
     if (reductions_ == 0 || ++accepted_ < kAcceptedBeforeIncrease) return;
     --reductions_;
@@ -54,19 +59,21 @@
  private:
   static constexpr double kBytesInKb = 1024;
   static constexpr size_t kUsablePercent = 90;
-  // Below these a job's record or a transaction with its chunk cannot be
-  // stored at all.
+  // With smaller limits, a job's record or a transaction that writes one of its
+  // chunks could not be stored at all.
   static constexpr size_t kMinValueBytes = 768;
   static constexpr size_t kMinOperations = 2;
-  // Further refusals do not lower the bounds any more.
+  // The limits are halved at most this often.
   static constexpr unsigned kMaxReductions = 4;
-  // So many writes pass before larger ones are tried again.
+  // The number of successful writes after which larger ones are tried again.
   static constexpr int kAcceptedBeforeIncrease = 200;
 
   size_t value_bytes_;
   size_t operations_;
-  unsigned reductions_ = 0;  // how often the bounds are halved
-  int accepted_ = 0;         // writes since the last refusal or increase
+  unsigned reductions_ = 0;  // how often the limits are currently halved
+  // Successful writes since the last rejection or increase while the limits are
+  // reduced.
+  int accepted_ = 0;
 };
 
 }  // namespace pitchfall
--- a/src/core/state/versioned.h
+++ b/src/core/state/versioned.h
@@ -1,4 +1,5 @@
-// Tables of records that are kept current by changes of the state service.
+// Records with their modification revisions, and functions that apply changes
+// read from the state service to them.
 #ifndef PITCHFALL_CORE_STATE_VERSIONED_H_
 #define PITCHFALL_CORE_STATE_VERSIONED_H_
 
@@ -12,26 +13,29 @@
 
 namespace pitchfall {
 
-// A record with the modification revision of its key, as compare-and-swap
-// conditions need it.
+// A record with the modification revision of its key. Transactions use the
+// revision as a compare-and-swap condition.
 template <typename T>
 struct Versioned {
   T value;
   uint64_t mod_revision = 0;
 };
 
-// Records of one type by the last part of their keys.
+// Records of one type by name, which is the key without the type's prefix.
 template <typename T>
 using VersionedTable = std::map<std::string, Versioned<T>>;
 
-// The change's record, or null if it is a deletion or a record of another type.
+// Returns the change's record, or null if the change is a deletion or holds a
+// record of another type.
 template <typename T>
 const T* RecordOf(const Change& change) {
   return change.value ? std::get_if<T>(&*change.value) : nullptr;
 }
 
-// Applies the change to the record `name`. A change that is not newer than that
-// record is ignored: replies of the state service can overtake each other.
+// Applies the change to the record `name`. A deletion or a record of another
+// type removes the present record. A change that is not newer than the present
+// record is ignored, because replies of the state service can arrive out of
+// order.
 template <typename T>
 void ApplyChange(VersionedTable<T>& table, const std::string& name,
                  const Change& change) {
@@ -48,7 +52,7 @@
   }
 }
 
-// The same for a record of which there is only one.
+// Applies the change, by the same rules, to a record that exists only once.
 template <typename T>
 void ApplyChange(std::optional<Versioned<T>>& current, const Change& change) {
   if (current && current->mod_revision >= change.mod_revision) return;
