--- a/src/core/state/job_table.cc
+++ b/src/core/state/job_table.cc
@@ -10,6 +10,7 @@
 namespace pitchfall {
 namespace {
 
+// Returns nullopt if the text is not entirely a decimal number.
 std::optional<uint32_t> ParseNumber(std::string_view text) {
   uint32_t number = 0;
   const char* end = text.data() + text.size();
@@ -17,7 +18,8 @@
   return number;
 }
 
-// Of a job that is over, users ask only for its outcome and its size.
+// Removes what is not needed of a finished job: users ask only for its outcome
+// and its number of tasks.
 void KeepOnlyOutcome(Job& job) {
   JobSpec spec;
   spec.id = job.spec().id;
@@ -61,7 +63,8 @@
   if (!partition || !slot) return;
   const auto* record = RecordOf<SegmentRecord>(change);
   Segment& segment = segments_[{*partition, *slot}];
-  // The same version again may name jobs that were unknown the first time.
+  // The same version is applied again, because it may contain jobs that were
+  // unknown the first time.
   if (record == nullptr || segment.mod_revision > change.mod_revision) return;
   segment.mod_revision = change.mod_revision;
   segment.chunks.clear();
@@ -75,7 +78,8 @@
 }
 
 void JobTable::ApplyChunk(Job& job, uint32_t chunk, Job::Chunk version) {
-  // Replicas are never done, whatever an earlier version of pitchfall stored.
+  // Replicas of a service are never done, but an earlier version of pitchfall
+  // may have stored them as done.
   if (job.spec().shape == Shape::kService) version.record.done.clear();
   auto [it, is_new] = job.chunks.try_emplace(chunk);
   Job::Chunk& current = it->second;
@@ -114,9 +118,9 @@
   }
 }
 
-// A job is forgotten only once everything up to the newest change has been
-// read: an older segment that is read later would otherwise bind its tasks
-// again, and what they need would be unknown.
+// A job's description is removed only after everything up to its newest change
+// has been read. Otherwise an older segment that is read later would bind the
+// job's tasks again while their resource needs are no longer known.
 void JobTable::ForgetFinished(uint64_t revision) {
   std::erase_if(closing_, [this, revision](Job* job) {
     if (HasChunkNewerThan(*job, revision)) return false;
--- a/src/core/state/job_table.h
+++ b/src/core/state/job_table.h
@@ -1,10 +1,11 @@
-// Jobs and the newest versions of their chunks, put together from job records
-// and segments.
+// Jobs and the newest versions of their chunks, assembled from job records and
+// segments.
 //
-// A chunk may stand in several segments: in the one that was written last for
-// it, and in older ones that have not been overwritten yet. Segments arrive in
-// any order, so every version names the chunk's epoch and carries its segment's
-// modification revision; the higher pair of both counts.
+// A chunk's record may be present in several segments: in the one that was
+// written last for it, and in older ones that have not been overwritten yet.
+// Segments arrive in any order. Every version therefore has the chunk's epoch
+// and its segment's modification revision, and the version with the higher pair
+// (epoch, modification revision) is the newer one.
 #ifndef PITCHFALL_CORE_STATE_JOB_TABLE_H_
 #define PITCHFALL_CORE_STATE_JOB_TABLE_H_
 
@@ -26,52 +27,58 @@
 
 namespace pitchfall {
 
-// Is told of every change of a chunk, with the job still in place, so that
-// users of machines and teams can be counted without looking at everything
-// again.
+// Is notified of every change of a chunk. This allows the use of machines and
+// of team quotas to be counted incrementally, without a pass over all jobs.
 class ChunkListener {
  public:
   virtual ~ChunkListener() = default;
-  // `before` is null for a new chunk, `after` for one that is removed.
+  // `before` is null for a new chunk, `after` for one that is removed. The job
+  // is still in the table during the call.
   virtual void OnChunk(const Job& job, uint32_t chunk, const Job::Chunk* before,
                        const Job::Chunk* after) = 0;
 };
 
-// Whether `candidate` is a newer version of a chunk than `current`. A chunk
-// that has been transferred is newer in the new owner's segments, even when the
-// old owner copies its last version forward afterwards.
+// Returns whether `candidate` is a newer version of a chunk than `current`. For
+// a chunk that has been transferred, the new owner's versions are newer, even
+// when the old owner copies its last version forward afterwards.
 bool Supersedes(const Job::Chunk& candidate, const Job::Chunk& current);
 
-// Owns the jobs and tells listeners of what changes in their chunks. Movable;
-// pointers to jobs stay valid when it is moved.
+// Owns the jobs and notifies listeners of changes in their chunks. The table is
+// movable; pointers to jobs stay valid when it is moved.
 class JobTable {
  public:
   using ChunkKey = std::pair<std::string, uint32_t>;  // job, chunk
   using Listeners = std::vector<ChunkListener*>;
-  // What a slot of a partition's ring held when it was written last.
+  // What a slot of a partition's ring of segments contains since its last
+  // write.
   struct Segment {
     uint64_t mod_revision = 0;
-    std::vector<ChunkKey> chunks;  // of jobs that are known
+    std::vector<ChunkKey> chunks;  // only those of known jobs
   };
 
-  // Applies a job record. False, and nothing changed, if it is not newer than
-  // the present one or is no job record.
+  // Applies a job record. Returns false, and changes nothing, if it is not
+  // newer than the present one or is not a job record.
   bool ApplyJob(const std::string& id, const Change& change);
-  // Applies a segment. `partition_and_slot` is the end of its key; a malformed
-  // one is ignored, as are chunks of jobs that are not known.
+  // Applies a segment. `partition_and_slot` is the last part of its key, as in
+  // "3/17". A segment with a malformed key is ignored, as are chunks of unknown
+  // jobs.
   void ApplySegment(std::string_view partition_and_slot, const Change& change);
-  // Drops the chunks and most of the description of jobs that are over.
-  // `revision`: everything up to it has been applied.
+  // Removes the chunks and most of the description of finished jobs.
+  // Precondition: everything up to `revision` has been applied. Jobs with newer
+  // chunks are kept for a later call.
   void ForgetFinished(uint64_t revision);
 
+  // Null if there is no such job.
   const Job* Find(const std::string& id) const;
-  // Jobs that are not final, or still have tasks bound to machines.
+  // Jobs that are not final or still have tasks bound to machines, by id.
   const std::map<std::string, Job*>& open_jobs() const { return open_jobs_; }
-  // Null if the slot was never written.
+  // Null if no segment of this slot is known.
   const Segment* FindSegment(uint32_t partition, uint32_t slot) const;
-  // One more than the number of the partition's last slot ever written.
+  // One more than the highest slot of the partition that was ever written; 0 if
+  // none was.
   uint32_t SlotCount(uint32_t partition) const;
-  // About how many bytes the newest versions of the partition's chunks take.
+  // An estimate of how many bytes the newest versions of the partition's chunks
+  // take.
   size_t LiveBytesIn(uint32_t partition) const {
     return live_bytes_.In(partition);
   }
@@ -81,32 +88,32 @@
   void RemoveListener(ChunkListener* listener) {
     std::erase(listeners_, listener);
   }
-  // Hands over all listeners, and leaves none.
+  // Removes all listeners and returns them.
   Listeners TakeListeners() { return std::exchange(listeners_, {}); }
   void SetListeners(Listeners listeners) { listeners_ = std::move(listeners); }
-  // Tells these listeners of all chunks of open jobs that they are removed, or
-  // that they have come.
+  // Reports all chunks of open jobs to these listeners as removed, or as new.
   void AnnounceRemovals(const Listeners& listeners) const;
   void AnnounceArrivals(const Listeners& listeners) const;
 
  private:
-  // Partition and slot.
-  using SegmentKey = std::pair<uint32_t, uint32_t>;
+  using SegmentKey = std::pair<uint32_t, uint32_t>;  // partition, slot
 
+  // Makes `version` the chunk's current one if it is newer.
   void ApplyChunk(Job& job, uint32_t chunk, Job::Chunk version);
-  // Replaces `current`, which is empty if the chunk is new.
+  // Replaces `current`, updates all counts and notifies the listeners.
+  // `current` is empty if the chunk is new.
   void ReplaceChunk(Job& job, uint32_t chunk, Job::Chunk& current, bool is_new,
                     Job::Chunk version);
   // Calls `visit` with the job, number and version of each chunk of open jobs.
   template <typename Visitor>
   void ForEachOpenChunk(Visitor visit) const;
-  // Files the job among the open ones or those that are over.
+  // Moves the job to the open or to the closing ones, according to its state.
   void UpdateOpenJobs(Job& job);
 
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
   std::map<std::string, Job*> open_jobs_;
-  // Jobs that are over with nothing bound, of which older segments may still
-  // come.
+  // Jobs that are final without bound tasks, but whose older segments may still
+  // arrive from the state service.
   std::set<Job*> closing_;
   std::map<SegmentKey, Segment> segments_;
   LiveBytes live_bytes_;
--- a/src/core/state/segment_filler.cc
+++ b/src/core/state/segment_filler.cc
@@ -7,25 +7,28 @@
 namespace pitchfall {
 namespace {
 
-// Brackets, quotes and commas of an entry, of a group of tasks and of a
-// machine.
+// Bytes of the brackets, quotes and commas of an entry, of a group of tasks and
+// of a machine.
 constexpr size_t kEntryBytes = 12;
 constexpr size_t kGroupBytes = 3;
 constexpr size_t kPlaceBytes = 8;
-// The index of a machine in the segment's table, with the comma behind it.
+// Bytes of the index of a machine in the segment's table, with the comma after
+// it.
 constexpr size_t kPlaceIndexBytes = 6;
 
-// Tasks are stored together if they are bound to one machine in one attempt.
+// Tasks are stored together, as ranges, if they are bound to the same machine
+// and have the same attempt number.
 using GroupKey =
     std::tuple<std::string, std::string, uint32_t>;  // machine, zone, attempt
 
-// A number with the comma or bracket behind it.
+// Bytes of a number with the comma or bracket after it.
 size_t CostOfNumber(uint64_t number) {
   size_t digits = 2;
   for (; number >= 10; number /= 10) ++digits;
   return digits;
 }
 
+// Bytes of the tasks, stored as the first and last number of each range.
 size_t CostOfTasks(const TaskSet& tasks) {
   size_t cost = 0;
   for (const auto& range : tasks) {
@@ -80,8 +83,8 @@
   for (const Assignment& assignment : entry.record.assigned) {
     highest_task = std::max(highest_task, assignment.task);
   }
-  // Each end may split a range of tasks on machines and begin a range of tasks
-  // that are done: two ranges of two numbers.
+  // Each task that ends may split a range of bound tasks in two and add a range
+  // of completed tasks: two more ranges of two numbers each.
   constexpr size_t kNumbersPerEnd = 4;
   size_t ends = entry.record.assigned.size();
   return filler.size() + ends * kNumbersPerEnd * CostOfNumber(highest_task);
--- a/src/core/state/segment_filler.h
+++ b/src/core/state/segment_filler.h
@@ -1,4 +1,5 @@
-// Counts in advance how large a segment will be when it is stored.
+// Builds segments of limited size. The size of the stored segment is computed
+// before it is encoded.
 #ifndef PITCHFALL_CORE_STATE_SEGMENT_FILLER_H_
 #define PITCHFALL_CORE_STATE_SEGMENT_FILLER_H_
 
@@ -12,36 +13,41 @@
 
 namespace pitchfall {
 
-// Fills one segment up to a size in bytes, counted as the state service counts
-// it: as JSON. The count is an upper bound of what is stored.
+// Adds entries to one segment up to a limit in bytes. Sizes are computed as the
+// state service computes them, in bytes of JSON. The computed size is an upper
+// bound of the stored size.
 class SegmentFiller {
  public:
+  // `limit` is the largest size of the segment, in bytes.
   explicit SegmentFiller(size_t limit) : limit_(limit) {}
 
-  // False, and nothing added, if the segment would exceed its limit or
-  // `max_bytes`.
+  // Adds the entry. Returns false, and adds nothing, if the segment would
+  // exceed its limit or `max_bytes`.
   bool Add(const SegmentRecord::Entry& entry, size_t max_bytes = SIZE_MAX);
 
+  // The size of the segment, in bytes.
   size_t size() const { return size_; }
   const SegmentRecord& segment() const { return segment_; }
 
  private:
-  // A segment names each machine once, in a table.
+  // A stored segment lists each machine once, in a table; entries refer to it
+  // by index.
   using Place = std::pair<std::string, std::string>;  // machine, zone
 
-  // What the entry adds; `new_places` receives its machines that the segment
-  // does not name yet.
+  // Returns by how many bytes the entry would enlarge the segment. Adds to
+  // `new_places` its machines that are not in the segment's table yet.
   size_t CostOf(const SegmentRecord::Entry& entry,
                 std::set<Place>& new_places) const;
 
   size_t limit_;
-  size_t size_ = 32;  // field names and brackets
+  size_t size_ = 32;  // of an empty segment: field names and brackets
   std::set<Place> places_;
   SegmentRecord segment_;
 };
 
-// The most bytes that the chunk's record can take in a segment while its tasks
-// end one by one, in the most unfavourable order, and none are started.
+// Returns the largest size, in bytes, that a segment with only this chunk's
+// record can reach while its tasks end one by one in the worst possible order
+// and none are started.
 size_t MaxEntryBytes(const SegmentRecord::Entry& entry);
 
 }  // namespace pitchfall
