--- a/src/core/state/segments.cc
+++ b/src/core/state/segments.cc
@@ -11,8 +11,8 @@
 using Entries = std::vector<SegmentRecord::Entry>;
 using ChunkKeys = std::set<StateCache::ChunkKey>;
 
-// The job of the chunk if its newest version lies in this slot and is still
-// needed, else null.
+// Returns the job of the chunk if the chunk's newest version is in this slot
+// and still needed, otherwise null.
 const Job* FindLiveJob(const StateCache& state_cache,
                        const StateCache::ChunkKey& key, uint32_t partition,
                        uint32_t slot) {
@@ -27,7 +27,7 @@
   return over ? nullptr : job;
 }
 
-// Adds to `entries` the live entries of the slot that are not in `included`,
+// Adds the live entries of the slot that are not in `included` to `entries`,
 // and their keys to `included`.
 void AddLiveEntries(const StateCache& state_cache, uint32_t partition,
                     uint32_t slot, ChunkKeys& included, Entries& entries) {
@@ -41,11 +41,12 @@
   }
 }
 
-// A ring can hold this many times its live entries.
+// The capacity of a ring as a multiple of the size of its live entries.
 constexpr size_t kRingToLiveRatio = 4;
 
-// How many slots the partition's ring has or should get. It never shrinks:
-// slots that were written are read again after a failover.
+// Returns the number of slots that the partition's ring should have. It is
+// never less than the present number, because a new owner reads all written
+// slots after a failover.
 uint32_t RingSlots(const StateCache& state_cache, uint32_t partition,
                    size_t value_bytes) {
   size_t live_bytes = state_cache.LiveBytes(partition);
@@ -55,15 +56,15 @@
                   state_cache.SlotCount(partition));
 }
 
-// A slot of the ring. Ordered by age: the ring is overwritten from the oldest
-// on, and slots that were never written come before all others.
+// A slot of the ring. Slots are ordered by age, because the ring is overwritten
+// from the oldest slot on. Slots that were never written come first.
 struct RingSlot {
   uint64_t mod_revision = 0;  // 0: never written
   uint32_t slot = 0;
   friend auto operator<=>(const RingSlot&, const RingSlot&) = default;
 };
 
-// The first `count` slots of the partition's ring, the oldest first.
+// Returns the first `count` slots of the partition's ring, the oldest first.
 std::vector<RingSlot> SlotsByAge(const StateCache& state_cache,
                                  uint32_t partition, uint32_t count) {
   std::vector<RingSlot> slots;
@@ -77,17 +78,20 @@
   return slots;
 }
 
-// Distributes entries over segments by first fit.
+// Distributes entries over segments by the first-fit rule, within limits.
 class SegmentPacker {
  public:
   explicit SegmentPacker(const SegmentLimits& limits) : limits_(limits) {}
 
-  // Puts the entry into the first segment with space for it, or into a new one
-  // if the limits allow; false, and nothing changed, if neither is possible.
+  // Adds the entry to the first segment with space for it, or to a new one if
+  // the limits allow. Returns false, and changes nothing, if neither is
+  // possible.
   bool Add(const SegmentRecord::Entry& entry) {
     return AddToPresent(entry) || AddToNew(entry);
   }
 
+  // Adds entries up to the first one that does not fit. Returns whether all
+  // fit.
   bool AddAll(const Entries& entries) {
     return std::ranges::all_of(
         entries, [this](const auto& entry) { return Add(entry); });
@@ -132,7 +136,8 @@
   return keys;
 }
 
-// Fills the slots to be overwritten with the entries; false if they do not fit.
+// Distributes the entries over the slots in `writes`. Returns false, and
+// changes nothing, if they do not fit.
 bool FillSlots(const Entries& entries, const SegmentLimits& limits,
                std::vector<SegmentWrite>& writes) {
   SegmentLimits limits_of_writes = limits;
@@ -145,8 +150,9 @@
   return true;
 }
 
-// Overwrites the oldest slots, as many as it takes, with the changes and the
-// live entries of these slots. None if the limits do not allow so many.
+// Overwrites as many of the oldest slots as are needed to store the changes and
+// the live entries of these slots. Returns nullopt if the limits do not allow
+// that many.
 std::optional<std::vector<SegmentWrite>> OverwriteOldest(
     const StateCache& state_cache, uint32_t partition, const Entries& changed,
     const SegmentLimits& limits) {
@@ -164,11 +170,11 @@
   return std::nullopt;
 }
 
-// Live entries of the oldest slots, as far as one transaction could move them,
-// without those of `changed`.
+// Returns live entries of the oldest slots, without the chunks in `changed`: at
+// least as many as one transaction can move, or all there are.
 Entries EntriesToMove(const StateCache& state_cache, uint32_t partition,
                       const Entries& changed) {
-  // More do not fit into a transaction.
+  // A transaction has no space for more entries.
   constexpr size_t kMaxMovedEntries = 500;
   ChunkKeys included = KeysOf(changed);
   uint32_t slot_count = state_cache.SlotCount(partition);
@@ -181,7 +187,8 @@
   return entries;
 }
 
-// Writes the segments to new slots from `first_slot` on.
+// Returns writes of the segments to consecutive new slots, starting at
+// `first_slot`.
 std::vector<SegmentWrite> WritesToNewSlots(
     const std::vector<SegmentFiller>& fillers, uint32_t first_slot) {
   std::vector<SegmentWrite> writes;
@@ -194,8 +201,8 @@
 }
 
 // Adds slots to the ring for the changes and for as many live entries of the
-// oldest slots as fit. None if the changes alone do not fit or the ring has
-// reached its maximum size.
+// oldest slots as fit. Returns nullopt if the changes alone do not fit, or if
+// `limits.writes` new slots would exceed the ring's maximum size.
 std::optional<std::vector<SegmentWrite>> ExtendRing(
     const StateCache& state_cache, uint32_t partition, const Entries& changed,
     const SegmentLimits& limits) {
@@ -203,9 +210,9 @@
   if (!packer.AddAll(changed)) return std::nullopt;
   uint32_t slot_count = state_cache.SlotCount(partition);
   if (slot_count + limits.writes > kMaxSlots) return std::nullopt;
-  // Stops at the first entry that does not fit, although a smaller one behind
-  // it might: the aim is to empty the oldest slot, which is overwritten next,
-  // and entries of newer slots moved in its stead do not help that.
+  // Stops at the first entry that does not fit, even if a smaller one after it
+  // would: the purpose is to empty the oldest slot, which is overwritten next,
+  // and moving entries of newer slots does not contribute to that.
   packer.AddAll(EntriesToMove(state_cache, partition, changed));
   return WritesToNewSlots(packer.fillers(), slot_count);
 }
--- a/src/core/state/state_cache.cc
+++ b/src/core/state/state_cache.cc
@@ -7,7 +7,8 @@
 namespace pitchfall {
 namespace {
 
-// Removes the prefix from the key; false, and nothing removed, if it has none.
+// Removes the prefix from the key. Returns false, and changes nothing, if the
+// key does not start with it.
 bool TakePrefix(std::string_view &key, std::string_view prefix) {
   if (!key.starts_with(prefix)) return false;
   key.remove_prefix(prefix.size());
@@ -17,8 +18,8 @@
 }  // namespace
 
 void StateCache::Apply(const Change &change) {
-  // What a read up to `revision_` has shown cannot be news, and could bring
-  // back a key that has been deleted since.
+  // Everything up to `revision_` has been applied already. Applying an older
+  // change again could restore a key that has been deleted since.
   if (change.mod_revision <= revision_ || change.unreadable) return;
   if (tombstones_.Covers(change.key, change.mod_revision)) return;
   if (!change.value) tombstones_.Add(change.key, change.mod_revision);
@@ -83,7 +84,8 @@
 
 void StateCache::Replace(StateCache fresh) {
   JobTable::Listeners listeners = jobs_.TakeListeners();
-  // Before anything is replaced: listeners see the jobs that the chunks are of.
+  // The removals are reported before anything is replaced, because listeners
+  // use the jobs that the chunks belong to.
   jobs_.AnnounceRemovals(listeners);
   *this = std::move(fresh);
   jobs_.SetListeners(listeners);
--- a/src/core/state/state_cache.h
+++ b/src/core/state/state_cache.h
@@ -1,5 +1,5 @@
-// This process's copy of what the state service holds, kept current by reads of
-// its change log.
+// This process's copy of the records in the state service, kept up to date by
+// reads of the service's change log.
 #ifndef PITCHFALL_CORE_STATE_STATE_CACHE_H_
 #define PITCHFALL_CORE_STATE_STATE_CACHE_H_
 
@@ -22,9 +22,10 @@
 
 namespace pitchfall {
 
-// All stored records by kind. It changes only by changes of the state service,
-// be they read from its log or known because this process made them. Pointers
-// and references into it hold until the next change.
+// All stored records by type. The cache is modified only by applying changes of
+// the state service: those read from its log, and those that this process made
+// itself. Pointers and references into the cache are valid until the next
+// modification.
 class StateCache {
  public:
   template <typename T>
@@ -34,58 +35,65 @@
   using ChunkKey = JobTable::ChunkKey;
   using Segment = JobTable::Segment;
 
-  // Applies a change of the log, a row of a list, or a change that this process
-  // has made itself. What is not newer than the present state is ignored, as
-  // are unreadable records: replies can overtake each other.
+  // Applies a change from the log, a row of a list, or a change that this
+  // process has made itself. Unreadable records are ignored. Changes that are
+  // not newer than the cached state are ignored too, because replies can arrive
+  // out of order.
   void Apply(const Change &change);
-  // Everything up to this revision has been applied.
+  // Sets revision(). Precondition: everything up to this revision has been
+  // applied. A lower revision than the present one has no effect.
   void AdvanceTo(uint64_t revision);
-  // Takes over what a complete new listing found. Listeners see the differences
-  // as a removal of all chunks and an arrival of the new ones.
+  // Replaces all records by those of a complete new listing. Listeners are
+  // notified that all chunks are removed and that the new ones are added.
   void Replace(StateCache fresh);
 
-  // Up to here everything has been applied.
+  // Everything up to this revision has been applied. 0 before the first call of
+  // AdvanceTo.
   uint64_t revision() const { return revision_; }
 
   // Null if there is no such job.
   const Job *FindJob(const std::string &id) const { return jobs_.Find(id); }
-  // Jobs that are not final, or still have tasks bound to machines.
+  // Jobs that are not final or still have tasks bound to machines, by id.
   const std::map<std::string, Job *> &open_jobs() const {
     return jobs_.open_jobs();
   }
-  // Jobs that were cancelled after the revision, oldest first. None if there
-  // may be more than `max_count`.
+  // Returns the jobs that were cancelled after the revision, oldest first.
+  // Returns nullopt if there may be more than `max_count`.
   std::optional<std::vector<std::string>> CancelledSince(
       uint64_t revision, size_t max_count) const {
     return recent_cancellations_.Since(revision, max_count);
   }
 
-  // Null if the slot was never written.
+  // Null if no segment of this slot is known.
   const Segment *FindSegment(uint32_t partition, uint32_t slot) const {
     return jobs_.FindSegment(partition, slot);
   }
-  // One more than the number of the partition's last slot ever written.
+  // One more than the highest slot of the partition that was ever written; 0 if
+  // none was.
   uint32_t SlotCount(uint32_t partition) const {
     return jobs_.SlotCount(partition);
   }
-  // About how many bytes the newest versions of the partition's chunks take.
+  // An estimate of how many bytes the newest versions of the partition's chunks
+  // take.
   size_t LiveBytes(uint32_t partition) const {
     return jobs_.LiveBytesIn(partition);
   }
 
   // Null if the partition never had an owner.
   const Versioned<PartitionRecord> *FindPartition(uint32_t partition) const;
-  // One more than the highest number of a partition that ever had an owner.
+  // One more than the highest number of a partition that ever had an owner; 0
+  // if none had.
   uint32_t PartitionCount() const;
   // Null if the partition's owner has not reported any load.
   const Versioned<LoadRecord> *FindLoad(uint32_t partition) const;
 
+  // The live controllers, by "label.incarnation".
   const Table<NodeRecord> &nodes() const { return nodes_; }
   // Whether the process that the record names as owner still has its lease.
   bool NodeAlive(const PartitionRecord &owner) const;
-  // Whether every live controller is of this version or a later one. One that
-  // is gone or cannot reach the state service loses its lease, and counts no
-  // more.
+  // Whether every live controller has this version or a later one. A controller
+  // that has ended or cannot reach the state service loses its lease and is
+  // not taken into account.
   bool AllNodesSupport(uint32_t version) const;
 
   const Table<InstanceRequestRecord> &instance_requests() const {
@@ -93,7 +101,8 @@
   }
   const Table<TeamRecord> &teams() const { return teams_; }
   const std::optional<Versioned<TypesRecord>> &types() const { return types_; }
-  // Null if the cloud's types are not known yet or do not include this one.
+  // Null if the cloud's machine types are not known yet or do not include this
+  // one.
   const MachineType *FindType(const std::string &name) const;
   const std::optional<Versioned<DrainRecord>> &drain() const { return drain_; }
   // Whether the machine is being scaled in.
@@ -111,24 +120,25 @@
   }
 
  private:
-  // False if the key belongs to no table.
+  // Applies the change if its key belongs to one of the tables; returns false
+  // if it does not.
   bool ApplyToTable(std::string_view key, const Change &change);
   void ApplyToSingleRecord(std::string_view key, const Change &change);
   void ApplyJob(const std::string &id, const Change &change);
   void ApplyDrain(const Change &change);
 
   uint64_t revision_ = 0;
-  Tombstones tombstones_;  // of deletions ahead of `revision_`
+  Tombstones tombstones_;  // of deletions newer than `revision_`
   JobTable jobs_;
   RecentCancellations recent_cancellations_;
   Table<NodeRecord> nodes_;
-  Table<PartitionRecord> partitions_;  // by number
+  Table<PartitionRecord> partitions_;  // by number of the partition
   Table<InstanceRequestRecord> instance_requests_;
   Table<TeamRecord> teams_;
   Table<LoadRecord> loads_;  // by number of the partition
   std::optional<Versioned<TypesRecord>> types_;
   std::optional<Versioned<DrainRecord>> drain_;
-  std::unordered_set<std::string> draining_;  // the machines of `drain_`
+  std::unordered_set<std::string> draining_;  // machines listed in `drain_`
   std::optional<Versioned<SizingRecord>> sizing_;
 };
 
--- a/src/core/state/state_watcher.cc
+++ b/src/core/state/state_watcher.cc
@@ -5,6 +5,7 @@
 #include "core/model/http_status.h"
 
 namespace pitchfall {
+
 bool StateWatcher::ReadDue(SteadyTime now) const {
   if (reading_ || now < next_read_) return false;
   bool requested = read_requested_ || !waiting_.empty() || !loaded_;
@@ -32,7 +33,7 @@
 
 void StateWatcher::OnWatchReply(const StateReply& reply) {
   if (reply.status == http_status::kGone) {
-    loaded_ = false;  // everything is listed again
+    loaded_ = false;  // all records are listed again
     out_.Log(LogLevel::kWarning, "event=state_reread reason=log_too_old");
     Finish(false);
     return;
@@ -63,12 +64,12 @@
     return;
   }
   for (const Change& row : reply.changes) listing_->fresh.Apply(row);
-  // Later pages may be newer than the first: the watch goes on from the first
-  // page's revision and brings the rest again, in order.
+  // Later pages may be newer than the first. Watch reads continue from the
+  // first page's revision and return all changes since then again, in order.
   if (listing_->revision == 0) listing_->revision = reply.revision;
   if (reply.more && !reply.changes.empty()) {
     listing_->after = reply.changes.back().key;
-    // Further pages of a list count as requests but do not wait for the rate.
+    // Further pages of a list count as requests, but do not wait for tokens.
     requests_.TakeOnCredit(out_.now().steady, 1);
     StartList();
     return;
@@ -81,9 +82,10 @@
   state_cache_.Replace(std::move(listing_->fresh));
   listing_.reset();
   loaded_ = true;
-  // The pages are of different moments: a segment may name jobs that the page
-  // before did not have yet. Nothing is known for sure before what changed
-  // since has been read.
+  // The pages show different points in time: a segment may name jobs that an
+  // earlier page did not contain yet. The state is consistent only after the
+  // changes since the first page have been read, so this does not count as a
+  // successful read.
   read_requested_ = true;
   out_.Log(LogLevel::kInfo, "event=state_loaded revision={} open_jobs={}",
            state_cache_.revision(), state_cache_.open_jobs().size());
