--- a/src/core/state/cancellation_watermark.cc
+++ b/src/core/state/cancellation_watermark.cc
@@ -7,12 +7,12 @@
 
 // The rates of two machines' steady clocks differ by up to 0.05%. The divisor
 // allows for twice that (1/1000 = 0.1%).
-constexpr int64_t kMaxDriftDivisor = 1000;
+constexpr int64_t kClockDriftDivisor = 1000;
 
 // Returns the shortest time that can have passed on this process's clock while
 // `elapsed` passed on another machine's clock.
-Duration LessDrift(Duration elapsed) {
-  return elapsed - elapsed / kMaxDriftDivisor;
+Duration MinLocalElapsed(Duration elapsed) {
+  return elapsed - elapsed / kClockDriftDivisor;
 }
 
 }  // namespace
@@ -20,12 +20,12 @@
 void CancellationWatermark::OnPeerHeartbeat(const PeerHeartbeat& heartbeat,
                                             SteadyTime now,
                                             SteadyTime current_as_of) {
-  auto echoed = echoed_.find(heartbeat.label);
-  if (echoed == echoed_.end()) return;
+  auto echoed = newest_echoes_.find(heartbeat.label);
+  if (echoed == newest_echoes_.end()) return;
   // If the peer started after the last read here began, its earlier
   // incarnations may have confirmed cancellations that neither the peer nor
   // this process knows.
-  if (LessDrift(heartbeat.uptime) < now - current_as_of) return;
+  if (MinLocalElapsed(heartbeat.uptime) < now - current_as_of) return;
   for (const PeerHeartbeat::Echo& echo : heartbeat.echoes) {
     // Times sent by an earlier incarnation of this process are readings of a
     // different steady clock.
@@ -44,7 +44,7 @@
   // Without peers, only this process confirms cancellations, so it knows all
   // of them.
   SteadyTime echoed_by_all = now;
-  for (const auto& [label, echoed] : echoed_) {
+  for (const auto& [label, echoed] : newest_echoes_) {
     echoed_by_all = std::min(echoed_by_all, echoed);
   }
   return std::max(current_as_of, echoed_by_all);
--- a/src/core/state/cancellation_watermark.h
+++ b/src/core/state/cancellation_watermark.h
@@ -41,7 +41,7 @@
   CancellationWatermark(const Deployment& deployment, std::string label,
                         std::string incarnation)
       : label_(std::move(label)), incarnation_(std::move(incarnation)) {
-    for (const auto& peer : deployment.peers) echoed_[peer.label];
+    for (const auto& peer : deployment.peers) newest_echoes_[peer.label];
   }
 
   // Processes the echoes in a peer's heartbeat. Precondition: the cancellations
@@ -65,7 +65,7 @@
   const std::string incarnation_;
   // The newest time echoed by each peer, by the peer's label. The clock's epoch
   // if the peer has echoed none yet.
-  std::map<std::string, SteadyTime> echoed_;
+  std::map<std::string, SteadyTime> newest_echoes_;
 };
 
 }  // namespace pitchfall
--- a/src/core/state/job_table.cc
+++ b/src/core/state/job_table.cc
@@ -111,10 +111,10 @@
 void JobTable::UpdateOpenJobs(Job& job) {
   if (job.open()) {
     open_jobs_[job.spec().id] = &job;
-    closing_.erase(&job);
+    finished_jobs_.erase(&job);
   } else {
     open_jobs_.erase(job.spec().id);
-    closing_.insert(&job);
+    finished_jobs_.insert(&job);
   }
 }
 
@@ -122,7 +122,7 @@
 // has been read. Otherwise an older segment that is read later would bind the
 // job's tasks again while their resource needs are no longer known.
 void JobTable::ForgetFinished(uint64_t revision) {
-  std::erase_if(closing_, [this, revision](Job* job) {
+  std::erase_if(finished_jobs_, [this, revision](Job* job) {
     if (HasChunkNewerThan(*job, revision)) return false;
     for (const auto& [number, chunk] : job->chunks) live_bytes_.Remove(chunk);
     job->chunks.clear();
@@ -156,7 +156,7 @@
   }
 }
 
-void JobTable::AnnounceRemovals(const Listeners& listeners) const {
+void JobTable::NotifyChunksRemoved(const Listeners& listeners) const {
   ForEachOpenChunk([&](const Job& job, uint32_t number, const auto& chunk) {
     for (ChunkListener* listener : listeners) {
       listener->OnChunk(job, number, &chunk, nullptr);
@@ -164,7 +164,7 @@
   });
 }
 
-void JobTable::AnnounceArrivals(const Listeners& listeners) const {
+void JobTable::NotifyChunksAdded(const Listeners& listeners) const {
   ForEachOpenChunk([&](const Job& job, uint32_t number, const auto& chunk) {
     for (ChunkListener* listener : listeners) {
       listener->OnChunk(job, number, nullptr, &chunk);
--- a/src/core/state/job_table.h
+++ b/src/core/state/job_table.h
@@ -92,8 +92,8 @@
   Listeners TakeListeners() { return std::exchange(listeners_, {}); }
   void SetListeners(Listeners listeners) { listeners_ = std::move(listeners); }
   // Reports all chunks of open jobs to these listeners as removed, or as new.
-  void AnnounceRemovals(const Listeners& listeners) const;
-  void AnnounceArrivals(const Listeners& listeners) const;
+  void NotifyChunksRemoved(const Listeners& listeners) const;
+  void NotifyChunksAdded(const Listeners& listeners) const;
 
  private:
   using SegmentKey = std::pair<uint32_t, uint32_t>;  // partition, slot
@@ -107,14 +107,14 @@
   // Calls `visit` with the job, number and version of each chunk of open jobs.
   template <typename Visitor>
   void ForEachOpenChunk(Visitor visit) const;
-  // Moves the job to the open or to the closing ones, according to its state.
+  // Moves the job to the open or to the finished ones, according to its state.
   void UpdateOpenJobs(Job& job);
 
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
   std::map<std::string, Job*> open_jobs_;
   // Jobs that are final without bound tasks, but whose older segments may still
   // arrive from the state service.
-  std::set<Job*> closing_;
+  std::set<Job*> finished_jobs_;
   std::map<SegmentKey, Segment> segments_;
   LiveBytes live_bytes_;
   Listeners listeners_;
--- a/src/core/state/live_bytes.h
+++ b/src/core/state/live_bytes.h
@@ -17,11 +17,11 @@
 class LiveBytes {
  public:
   void Add(const Job::Chunk& chunk) {
-    bytes_[chunk.partition] += EstimateOf(chunk);
+    bytes_[chunk.partition] += EstimateBytes(chunk);
   }
   // Precondition: the chunk has been added and has not changed since.
   void Remove(const Job::Chunk& chunk) {
-    bytes_[chunk.partition] -= EstimateOf(chunk);
+    bytes_[chunk.partition] -= EstimateBytes(chunk);
   }
   // The estimate for one partition; 0 if no chunk of it was ever added.
   size_t In(uint32_t partition) const {
@@ -30,7 +30,7 @@
   }
 
  private:
-  static int64_t EstimateOf(const Job::Chunk& chunk) {
+  static int64_t EstimateBytes(const Job::Chunk& chunk) {
     // Typical sizes of a record without assignments and of one assignment.
     constexpr int64_t kChunkBytes = 40;
     constexpr int64_t kAssignmentBytes = 20;
--- a/src/core/state/recent_cancellations.cc
+++ b/src/core/state/recent_cancellations.cc
@@ -5,13 +5,13 @@
 void RecentCancellations::Add(uint64_t mod_revision, const std::string& job) {
   jobs_.insert({mod_revision, job});
   if (jobs_.size() <= kMaxKept) return;
-  complete_after_ = jobs_.begin()->first;
+  last_dropped_revision_ = jobs_.begin()->first;
   jobs_.erase(jobs_.begin());
 }
 
 std::optional<std::vector<std::string>> RecentCancellations::Since(
     uint64_t revision, size_t max_count) const {
-  if (revision < complete_after_) return std::nullopt;
+  if (revision < last_dropped_revision_) return std::nullopt;
   std::vector<std::string> cancelled;
   auto first = jobs_.lower_bound({revision + 1, ""});
   for (auto job = first; job != jobs_.end(); ++job) {
--- a/src/core/state/recent_cancellations.h
+++ b/src/core/state/recent_cancellations.h
@@ -34,7 +34,7 @@
   std::set<std::pair<uint64_t, std::string>> jobs_;
   // Cancellations up to this revision may have been dropped; all later ones are
   // present. 0 if none has been dropped.
-  uint64_t complete_after_ = 0;
+  uint64_t last_dropped_revision_ = 0;
 };
 
 }  // namespace pitchfall
--- a/src/core/state/segment_filler.cc
+++ b/src/core/state/segment_filler.cc
@@ -11,10 +11,10 @@
 // of a machine.
 constexpr size_t kEntryBytes = 12;
 constexpr size_t kGroupBytes = 3;
-constexpr size_t kPlaceBytes = 8;
+constexpr size_t kMachineBytes = 8;
 // Bytes of the index of a machine in the segment's table, with the comma after
 // it.
-constexpr size_t kPlaceIndexBytes = 6;
+constexpr size_t kMachineIndexBytes = 6;
 
 // Tasks are stored together, as ranges, if they are bound to the same machine
 // and have the same attempt number.
@@ -22,23 +22,23 @@
     std::tuple<std::string, std::string, uint32_t>;  // machine, zone, attempt
 
 // Bytes of a number with the comma or bracket after it.
-size_t CostOfNumber(uint64_t number) {
+size_t NumberBytes(uint64_t number) {
   size_t digits = 2;
   for (; number >= 10; number /= 10) ++digits;
   return digits;
 }
 
 // Bytes of the tasks, stored as the first and last number of each range.
-size_t CostOfTasks(const TaskSet& tasks) {
-  size_t cost = 0;
+size_t TaskSetBytes(const TaskSet& tasks) {
+  size_t bytes = 0;
   for (const auto& range : tasks) {
-    cost += CostOfNumber(boost::icl::first(range));
-    cost += CostOfNumber(boost::icl::last(range));
+    bytes += NumberBytes(boost::icl::first(range));
+    bytes += NumberBytes(boost::icl::last(range));
   }
-  return cost;
+  return bytes;
 }
 
-std::map<GroupKey, TaskSet> GroupsOf(const ChunkRecord& record) {
+std::map<GroupKey, TaskSet> GroupTasks(const ChunkRecord& record) {
   std::map<GroupKey, TaskSet> groups;
   for (const Assignment& assignment : record.assigned) {
     GroupKey key(assignment.machine, assignment.zone, assignment.attempt);
@@ -49,29 +49,29 @@
 
 }  // namespace
 
-size_t SegmentFiller::CostOf(const SegmentRecord::Entry& entry,
-                             std::set<Place>& new_places) const {
+size_t SegmentFiller::EntryBytes(const SegmentRecord::Entry& entry,
+                                 std::set<MachineKey>& new_machines) const {
   const ChunkRecord& record = entry.record;
-  size_t cost = kEntryBytes + entry.job.size() + CostOfNumber(entry.chunk) +
-                CostOfNumber(record.epoch) + CostOfNumber(record.next_attempt) +
-                CostOfTasks(record.done);
-  for (const auto& [group, tasks] : GroupsOf(record)) {
+  size_t bytes = kEntryBytes + entry.job.size() + NumberBytes(entry.chunk) +
+                 NumberBytes(record.epoch) + NumberBytes(record.next_attempt) +
+                 TaskSetBytes(record.done);
+  for (const auto& [group, tasks] : GroupTasks(record)) {
     const auto& [machine, zone, attempt] = group;
-    cost += kGroupBytes + kPlaceIndexBytes + CostOfNumber(attempt);
-    cost += CostOfTasks(tasks);
-    Place place(machine, zone);
-    if (places_.contains(place) || !new_places.insert(place).second) continue;
-    cost += machine.size() + zone.size() + kPlaceBytes;
+    bytes += kGroupBytes + kMachineIndexBytes + NumberBytes(attempt);
+    bytes += TaskSetBytes(tasks);
+    MachineKey key(machine, zone);
+    if (machines_.contains(key) || !new_machines.insert(key).second) continue;
+    bytes += machine.size() + zone.size() + kMachineBytes;
   }
-  return cost;
+  return bytes;
 }
 
 bool SegmentFiller::Add(const SegmentRecord::Entry& entry, size_t max_bytes) {
-  std::set<Place> new_places;
-  size_t cost = CostOf(entry, new_places);
-  if (size_ + cost > std::min(limit_, max_bytes)) return false;
-  size_ += cost;
-  places_.merge(new_places);
+  std::set<MachineKey> new_machines;
+  size_t bytes = EntryBytes(entry, new_machines);
+  if (size_ + bytes > std::min(limit_, max_bytes)) return false;
+  size_ += bytes;
+  machines_.merge(new_machines);
   segment_.entries.push_back(entry);
   return true;
 }
@@ -85,9 +85,10 @@
   }
   // Each task that ends may split a range of bound tasks in two and add a range
   // of completed tasks: two more ranges of two numbers each.
-  constexpr size_t kNumbersPerEnd = 4;
-  size_t ends = entry.record.assigned.size();
-  return filler.size() + ends * kNumbersPerEnd * CostOfNumber(highest_task);
+  constexpr size_t kNumbersPerEndedTask = 4;
+  size_t ended_tasks = entry.record.assigned.size();
+  return filler.size() +
+         ended_tasks * kNumbersPerEndedTask * NumberBytes(highest_task);
 }
 
 }  // namespace pitchfall
--- a/src/core/state/segment_filler.h
+++ b/src/core/state/segment_filler.h
@@ -32,16 +32,16 @@
  private:
   // A stored segment lists each machine once, in a table; entries refer to it
   // by index.
-  using Place = std::pair<std::string, std::string>;  // machine, zone
+  using MachineKey = std::pair<std::string, std::string>;  // machine, zone
 
   // Returns by how many bytes the entry would enlarge the segment. Adds to
-  // `new_places` its machines that are not in the segment's table yet.
-  size_t CostOf(const SegmentRecord::Entry& entry,
-                std::set<Place>& new_places) const;
+  // `new_machines` its machines that are not in the segment's table yet.
+  size_t EntryBytes(const SegmentRecord::Entry& entry,
+                    std::set<MachineKey>& new_machines) const;
 
   size_t limit_;
   size_t size_ = 32;  // of an empty segment: field names and brackets
-  std::set<Place> places_;
+  std::set<MachineKey> machines_;
   SegmentRecord segment_;
 };
 
--- a/src/core/state/segments.cc
+++ b/src/core/state/segments.cc
@@ -47,8 +47,8 @@
 // Returns the number of slots that the partition's ring should have. It is
 // never less than the present number, because a new owner reads all written
 // slots after a failover.
-uint32_t RingSlots(const StateCache& state_cache, uint32_t partition,
-                   size_t value_bytes) {
+uint32_t TargetSlotCount(const StateCache& state_cache, uint32_t partition,
+                         size_t value_bytes) {
   size_t live_bytes = state_cache.LiveBytes(partition);
   size_t wanted = kRingToLiveRatio * live_bytes / value_bytes;
   wanted = std::clamp<size_t>(wanted, kMinSlots, kMaxSlots);
@@ -87,7 +87,7 @@
   // the limits allow. Returns false, and changes nothing, if neither is
   // possible.
   bool Add(const SegmentRecord::Entry& entry) {
-    return AddToPresent(entry) || AddToNew(entry);
+    return AddToExisting(entry) || AddToNew(entry);
   }
 
   // Adds entries up to the first one that does not fit. Returns whether all
@@ -100,7 +100,7 @@
   const std::vector<SegmentFiller>& fillers() const { return fillers_; }
 
  private:
-  bool AddToPresent(const SegmentRecord::Entry& entry) {
+  bool AddToExisting(const SegmentRecord::Entry& entry) {
     for (SegmentFiller& filler : fillers_) {
       size_t size_before = filler.size();
       size_t others = total_bytes_ - size_before;
@@ -158,7 +158,8 @@
     const SegmentLimits& limits) {
   Entries entries = changed;
   ChunkKeys included = KeysOf(changed);
-  uint32_t slot_count = RingSlots(state_cache, partition, limits.value_bytes);
+  uint32_t slot_count =
+      TargetSlotCount(state_cache, partition, limits.value_bytes);
   std::vector<SegmentWrite> writes;
   for (const RingSlot& oldest :
        SlotsByAge(state_cache, partition, slot_count)) {
--- a/src/core/state/state_cache.cc
+++ b/src/core/state/state_cache.cc
@@ -9,7 +9,7 @@
 
 // Removes the prefix from the key. Returns false, and changes nothing, if the
 // key does not start with it.
-bool TakePrefix(std::string_view &key, std::string_view prefix) {
+bool ConsumePrefix(std::string_view &key, std::string_view prefix) {
   if (!key.starts_with(prefix)) return false;
   key.remove_prefix(prefix.size());
   return true;
@@ -29,19 +29,19 @@
 }
 
 bool StateCache::ApplyToTable(std::string_view key, const Change &change) {
-  if (TakePrefix(key, keys::kJobs)) {
+  if (ConsumePrefix(key, keys::kJobs)) {
     ApplyJob(std::string(key), change);
-  } else if (TakePrefix(key, keys::kSegments)) {
+  } else if (ConsumePrefix(key, keys::kSegments)) {
     jobs_.ApplySegment(key, change);
-  } else if (TakePrefix(key, keys::kNodes)) {
+  } else if (ConsumePrefix(key, keys::kNodes)) {
     ApplyChange(nodes_, std::string(key), change);
-  } else if (TakePrefix(key, keys::kPartitions)) {
+  } else if (ConsumePrefix(key, keys::kPartitions)) {
     ApplyChange(partitions_, std::string(key), change);
-  } else if (TakePrefix(key, keys::kInstanceRequests)) {
+  } else if (ConsumePrefix(key, keys::kInstanceRequests)) {
     ApplyChange(instance_requests_, std::string(key), change);
-  } else if (TakePrefix(key, keys::kTeams)) {
+  } else if (ConsumePrefix(key, keys::kTeams)) {
     ApplyChange(teams_, std::string(key), change);
-  } else if (TakePrefix(key, keys::kLoads)) {
+  } else if (ConsumePrefix(key, keys::kLoads)) {
     ApplyChange(loads_, std::string(key), change);
   } else {
     return false;
@@ -82,14 +82,14 @@
   jobs_.ForgetFinished(revision);
 }
 
-void StateCache::Replace(StateCache fresh) {
+void StateCache::Replace(StateCache new_cache) {
   JobTable::Listeners listeners = jobs_.TakeListeners();
   // The removals are reported before anything is replaced, because listeners
   // use the jobs that the chunks belong to.
-  jobs_.AnnounceRemovals(listeners);
-  *this = std::move(fresh);
+  jobs_.NotifyChunksRemoved(listeners);
+  *this = std::move(new_cache);
   jobs_.SetListeners(listeners);
-  jobs_.AnnounceArrivals(listeners);
+  jobs_.NotifyChunksAdded(listeners);
 }
 
 const StateCache::Versioned<PartitionRecord> *StateCache::FindPartition(
--- a/src/core/state/state_cache.h
+++ b/src/core/state/state_cache.h
@@ -45,7 +45,7 @@
   void AdvanceTo(uint64_t revision);
   // Replaces all records by those of a complete new listing. Listeners are
   // notified that all chunks are removed and that the new ones are added.
-  void Replace(StateCache fresh);
+  void Replace(StateCache new_cache);
 
   // Everything up to this revision has been applied. 0 before the first call of
   // AdvanceTo.
--- a/src/core/state/state_limits.h
+++ b/src/core/state/state_limits.h
@@ -46,14 +46,16 @@
   // Halves the limits.
   void OnRefused() {
     reductions_ = std::min(reductions_ + 1, kMaxReductions);
-    accepted_ = 0;
+    accepted_writes_ = 0;
   }
   // To be called when the service has carried out a write. Doubles reduced
   // limits after kAcceptedBeforeIncrease of them.
   void OnAccepted() {
-    if (reductions_ == 0 || ++accepted_ < kAcceptedBeforeIncrease) return;
+    if (reductions_ == 0 || ++accepted_writes_ < kAcceptedBeforeIncrease) {
+      return;
+    }
     --reductions_;
-    accepted_ = 0;
+    accepted_writes_ = 0;
   }
 
  private:
@@ -73,7 +75,7 @@
   unsigned reductions_ = 0;  // how often the limits are currently halved
   // Successful writes since the last rejection or increase while the limits are
   // reduced.
-  int accepted_ = 0;
+  int accepted_writes_ = 0;
 };
 
 }  // namespace pitchfall
--- a/src/core/state/state_watcher.h
+++ b/src/core/state/state_watcher.h
@@ -29,22 +29,23 @@
   // Receives whether the read succeeded.
   using ReadCallback = std::function<void(bool)>;
 
-  StateWatcher(const Tuning& tuning, Outbox& out, StateCache& state_cache,
-               TokenBucket& requests)
+  // `request_bucket` limits the requests to the state service.
+  StateWatcher(const Tuning& tuning, Outbox& outbox, StateCache& state_cache,
+               TokenBucket& request_bucket)
       : tuning_(tuning),
-        out_(out),
+        outbox_(outbox),
         state_cache_(state_cache),
-        requests_(requests) {}
+        request_bucket_(request_bucket) {}
 
-  // Starts a read if one is due, none is in progress and `requests` has a
-  // token. To be called once per batch of commands.
+  // Starts a read if one is due, none is in progress and the request bucket has
+  // a token. To be called once per batch of commands.
   void Step();
 
   // Calls `waiter` once, when the next read that starts after this call has
   // ended. If that read succeeds, it shows everything that was stored before
   // this call (a linearizable read). Any number of waiters share one read.
   void AfterNextRead(ReadCallback waiter) {
-    waiting_.push_back(std::move(waiter));
+    next_read_waiters_.push_back(std::move(waiter));
   }
   // Makes a read due before the idle interval has passed.
   void RequestRead() { read_requested_ = true; }
@@ -56,19 +57,19 @@
   // bring up to date.
   bool loaded() const { return loaded_; }
   // How long ago the last successful read began.
-  Duration Age() const { return out_.now().steady - current_as_of_; }
+  Duration Age() const { return outbox_.now().steady - current_as_of_; }
   // Whether the cache is recent enough to act on.
   bool Fresh() const { return loaded_ && Age() < kMaxFreshAge; }
 
  private:
-  // The largest age at which the cache is recent enough to act on.
+  // The cache is recent enough to act on while its age is below this.
   static constexpr Duration kMaxFreshAge = Millis(2000);
   // Time between the starts of two reads if none is requested.
   static constexpr Duration kIdleInterval = Millis(200);
   // Shortest time between the end of a successful read and the next read.
-  static constexpr Duration kBusyInterval = Millis(20);
+  static constexpr Duration kMinReadPause = Millis(20);
   // Shortest time between the end of a failed read and the next read.
-  static constexpr Duration kFailureInterval = Millis(300);
+  static constexpr Duration kRetryDelay = Millis(300);
   // A listing that takes longer is started again, because the change log must
   // still contain all changes after its first page.
   static constexpr Duration kMaxListingAge = Millis(30000);
@@ -79,35 +80,36 @@
   void OnWatchReply(const StateReply& reply);
   // Requests the next page of the list, or the first page of a new one.
   void StartList();
-  void OnPage(const StateReply& reply);
+  void OnListPage(const StateReply& reply);
   // Replaces the cache's content by the complete listing.
   void FinishList();
   // Ends the read in progress and calls its waiters.
-  void Finish(bool succeeded);
+  void FinishRead(bool succeeded);
 
   const Tuning& tuning_;
-  Outbox& out_;
+  Outbox& outbox_;
   StateCache& state_cache_;
-  TokenBucket& requests_;
+  TokenBucket& request_bucket_;
 
   // A list in progress. Thousands of jobs take many pages. If a page fails,
   // only that page is requested again: if the whole list were, a restarted
   // process might never finish it while the state service is slow or busy.
   struct Listing {
-    SteadyTime begun{};
-    std::string after;  // last key of the pages received so far; empty: none
+    SteadyTime started{};
+    std::string last_key;   // of the pages received so far; empty: none
     uint64_t revision = 0;  // of the first page; 0: not received yet
-    StateCache fresh;       // the records received so far
+    StateCache new_cache;   // the records received so far
   };
   std::optional<Listing> listing_;
   bool loaded_ = false;
   bool read_requested_ = true;
-  bool reading_ = false;
-  SteadyTime started_{};    // when the last read started
-  SteadyTime next_read_{};  // earliest start of the next read
+  bool read_in_progress_ = false;
+  SteadyTime read_started_{};  // start of the last read
+  SteadyTime earliest_next_read_{};
   SteadyTime current_as_of_{};
-  std::vector<ReadCallback> waiting_;  // called after the next read
-  std::vector<ReadCallback> served_;   // called after the read in progress
+  // Callbacks for the next read, and for the read in progress.
+  std::vector<ReadCallback> next_read_waiters_;
+  std::vector<ReadCallback> current_read_waiters_;
 };
 
 }  // namespace pitchfall
