--- a/src/core/state/job_table.cc
+++ b/src/core/state/job_table.cc
@@ -10,6 +10,7 @@
 namespace pitchfall {
 namespace {
 
+// Returns nullopt if the text is not entirely a decimal number.
 std::optional<uint32_t> ParseNumber(std::string_view text) {
   uint32_t number = 0;
   const char* end = text.data() + text.size();
@@ -17,7 +18,8 @@
   return number;
 }
 
-// Of a job that is over, users ask only for its outcome and its size.
+// Removes what is not needed of a finished job: users ask only for its outcome
+// and its number of tasks.
 void KeepOnlyOutcome(Job& job) {
   JobSpec spec;
   spec.id = job.spec().id;
@@ -61,7 +63,8 @@
   if (!partition || !slot) return;
   const auto* record = RecordOf<SegmentRecord>(change);
   Segment& segment = segments_[{*partition, *slot}];
-  // The same version again may name jobs that were unknown the first time.
+  // The same version is applied again, because it may contain jobs that were
+  // unknown the first time.
   if (record == nullptr || segment.mod_revision > change.mod_revision) return;
   segment.mod_revision = change.mod_revision;
   segment.chunks.clear();
@@ -75,7 +78,8 @@
 }
 
 void JobTable::ApplyChunk(Job& job, uint32_t chunk, Job::Chunk version) {
-  // Replicas are never done, whatever an earlier version of pitchfall stored.
+  // Replicas of a service are never done, but an earlier version of pitchfall
+  // may have stored them as done.
   if (job.spec().shape == Shape::kService) version.record.done.clear();
   auto [it, is_new] = job.chunks.try_emplace(chunk);
   Job::Chunk& current = it->second;
@@ -107,18 +111,18 @@
 void JobTable::UpdateOpenJobs(Job& job) {
   if (job.open()) {
     open_jobs_[job.spec().id] = &job;
-    closing_.erase(&job);
+    finished_jobs_.erase(&job);
   } else {
     open_jobs_.erase(job.spec().id);
-    closing_.insert(&job);
+    finished_jobs_.insert(&job);
   }
 }
 
-// A job is forgotten only once everything up to the newest change has been
-// read: an older segment that is read later would otherwise bind its tasks
-// again, and what they need would be unknown.
+// A job's description is removed only after everything up to its newest change
+// has been read. Otherwise an older segment that is read later would bind the
+// job's tasks again while their resource needs are no longer known.
 void JobTable::ForgetFinished(uint64_t revision) {
-  std::erase_if(closing_, [this, revision](Job* job) {
+  std::erase_if(finished_jobs_, [this, revision](Job* job) {
     if (HasChunkNewerThan(*job, revision)) return false;
     for (const auto& [number, chunk] : job->chunks) live_bytes_.Remove(chunk);
     job->chunks.clear();
@@ -152,7 +156,7 @@
   }
 }
 
-void JobTable::AnnounceRemovals(const Listeners& listeners) const {
+void JobTable::NotifyChunksRemoved(const Listeners& listeners) const {
   ForEachOpenChunk([&](const Job& job, uint32_t number, const auto& chunk) {
     for (ChunkListener* listener : listeners) {
       listener->OnChunk(job, number, &chunk, nullptr);
@@ -160,7 +164,7 @@
   });
 }
 
-void JobTable::AnnounceArrivals(const Listeners& listeners) const {
+void JobTable::NotifyChunksAdded(const Listeners& listeners) const {
   ForEachOpenChunk([&](const Job& job, uint32_t number, const auto& chunk) {
     for (ChunkListener* listener : listeners) {
       listener->OnChunk(job, number, nullptr, &chunk);
