--- a/src/core/base/rendezvous_hash.h
+++ b/src/core/base/rendezvous_hash.h
@@ -1,6 +1,7 @@
-// Rendezvous hashing: every controller works out the same placement of machines
-// in partitions and of orphaned partitions on controllers, and a change of one
-// moves no other.
+// Rendezvous hashing (highest random weight): every controller computes the
+// same assignment of machines to partitions, and of partitions whose configured
+// controller is not alive to other controllers. The arrival or departure of one
+// machine or controller changes no assignment that does not involve it.
 #ifndef PITCHFALL_CORE_BASE_RENDEZVOUS_HASH_H_
 #define PITCHFALL_CORE_BASE_RENDEZVOUS_HASH_H_
 
@@ -10,8 +11,10 @@
 
 namespace pitchfall {
 
-// FNV-1a with a final mix, so that names that differ in their last digit land
-// far apart. The value is part of the stored layout: it must not change.
+// Returns the FNV-1a hash of the text, with `seed` mixed into the initial state
+// and a final mixing step, so that names that differ only in their last digit
+// get very different values. The stored layout depends on these values: they
+// must not change.
 inline uint64_t StableHash(std::string_view text, uint64_t seed) {
   uint64_t hash = 14695981039346656037ull ^ seed;
   for (unsigned char c : text) {
@@ -26,6 +29,9 @@
   return hash;
 }
 
+// Returns the partition of the machine with this name, in
+// [0, partition_count): the one with the highest hash. Returns 0 if
+// `partition_count` is 0.
 inline uint32_t PartitionOf(std::string_view machine,
                             uint32_t partition_count) {
   uint32_t best = 0;
--- a/src/core/base/resources.h
+++ b/src/core/base/resources.h
@@ -1,5 +1,6 @@
-// Amounts of processor, accelerator and memory as exact integers (millionths),
-// so that sums of decimals cannot drift past a machine's or a team's size.
+// Amounts of processors, accelerators and memory as integers (millionths):
+// floating-point rounding errors in sums could exceed the capacity of a machine
+// or the limit of a team.
 #ifndef PITCHFALL_CORE_BASE_RESOURCES_H_
 #define PITCHFALL_CORE_BASE_RESOURCES_H_
 
@@ -9,13 +10,17 @@
 
 namespace pitchfall {
 
+// The resources of a machine, task or team. A difference may have negative
+// components.
 struct Resources {
+  // The integer amount that stands for one processor, accelerator or gigabyte.
   static constexpr double kUnit = 1e6;
 
-  int64_t cpus = 0;
-  int64_t gpus = 0;
-  int64_t memory = 0;
+  int64_t cpus = 0;    // millionths of a processor
+  int64_t gpus = 0;    // millionths of an accelerator
+  int64_t memory = 0;  // millionths of a gigabyte
 
+  // Converts whole and decimal amounts, rounded to the nearest millionth.
   static int64_t FromDecimal(double amount) {
     return std::llround(amount * kUnit);
   }
@@ -42,11 +47,13 @@
   }
   friend bool operator==(const Resources&, const Resources&) = default;
 
+  // Whether no component exceeds that of `available`.
   bool FitsIn(const Resources& available) const {
     return cpus <= available.cpus && gpus <= available.gpus &&
            memory <= available.memory;
   }
-  // How many tasks of this need fit into `available`, at most `most`.
+  // Returns how many tasks that each need these resources fit into `available`,
+  // but at most `most`, and never less than 0.
   int64_t CountIn(const Resources& available, int64_t most) const {
     auto limit = [&](int64_t need, int64_t have) {
       if (need > 0) most = std::min(most, have < 0 ? 0 : have / need);
--- a/src/core/base/version.h
+++ b/src/core/base/version.h
@@ -1,7 +1,8 @@
-// Versions of what controllers store and tell each other.
+// Versions of the records that controllers store and of the messages that they
+// exchange.
 //
-// A controller announces its version in its node record. What an older one
-// would not understand is used only while no live controller is older.
+// A controller announces its version in its node record. A feature that older
+// versions do not support is used only while every live controller supports it.
 #ifndef PITCHFALL_CORE_BASE_VERSION_H_
 #define PITCHFALL_CORE_BASE_VERSION_H_
 
@@ -9,11 +10,12 @@
 
 namespace pitchfall {
 
-// Of a record that names none.
+// The version of a controller whose node record names none.
 inline constexpr uint32_t kFirstVersion = 1;
-// Runs standing jobs, and reads chunk records that bind more than
-// kMaxInChunkVersion1 tasks.
+// Runs services (Shape::kService), and reads chunk records that assign more
+// than kMaxInChunkVersion1 tasks to machines.
 inline constexpr uint32_t kStandingJobsVersion = 2;
+// The version of this program.
 inline constexpr uint32_t kThisVersion = kStandingJobsVersion;
 
 }  // namespace pitchfall
