--- a/src/core/model/chunk_record.h
+++ b/src/core/model/chunk_record.h
@@ -1,5 +1,5 @@
-// What becomes of a job's tasks, stored by chunks: a chunk is a block of
-// consecutive tasks that one partition runs.
+// The stored progress of a job's tasks. It is kept by chunk: a chunk is a block
+// of consecutive tasks that one partition runs.
 #ifndef PITCHFALL_CORE_MODEL_CHUNK_RECORD_H_
 #define PITCHFALL_CORE_MODEL_CHUNK_RECORD_H_
 
@@ -11,31 +11,35 @@
 
 namespace pitchfall {
 
-// An attempt of a task bound to a machine, from before its start is sent until
-// it is proven to be gone.
+// An attempt to run a task that is bound to a machine. The record is stored
+// before the start command is sent, and removed only once the attempt is known
+// not to run any more.
 struct Assignment {
   uint32_t task = 0;
-  uint32_t attempt = 0;
+  uint32_t attempt = 0;  // see ChunkRecord::next_attempt
   std::string machine;
   std::string zone;  // of the machine
   friend bool operator==(const Assignment&, const Assignment&) = default;
 };
 
-// The tasks [n * chunk_size, (n + 1) * chunk_size) of a job. A chunk has no
-// record until the first of its tasks is assigned.
+// The progress of the tasks [n * chunk_size, (n + 1) * chunk_size) of a job,
+// where n is the chunk's number. A chunk has no record until the first of its
+// tasks is assigned.
 struct ChunkRecord {
-  // How often the chunk had been transferred when this was written.
+  // How often the chunk had been transferred to another partition when this
+  // record was written. A record of a later epoch is newer.
   uint32_t epoch = 0;
   TaskSet done;
   std::vector<Assignment> assigned;
+  // The number that the next attempt of any task of the chunk gets.
   uint32_t next_attempt = 1;
   friend bool operator==(const ChunkRecord&, const ChunkRecord&) = default;
 };
 
-// Chunk records that were stored together in one value; see
+// Chunk records that are stored together in one value, as described in
 // core/state/segments.h.
 struct SegmentRecord {
-  // A chunk's record with the chunk's key.
+  // A chunk record with the job and the number of the chunk.
   struct Entry {
     std::string job;
     uint32_t chunk = 0;
--- a/src/core/model/free_capacity.h
+++ b/src/core/model/free_capacity.h
@@ -1,5 +1,5 @@
-// Free processors of partitions, counted by the size of tasks: eight machines
-// with one free processor each have no capacity for a task of four.
+// Free processors of partitions, counted separately for each task size: eight
+// machines with one free processor each cannot run a task that needs four.
 #ifndef PITCHFALL_CORE_MODEL_FREE_CAPACITY_H_
 #define PITCHFALL_CORE_MODEL_FREE_CAPACITY_H_
 
@@ -17,28 +17,31 @@
 
 namespace pitchfall {
 
-// Free processors of one partition in whole slots of 1, 2, 4 ... processors.
-// All amounts are in millionths of a processor, as in Resources.
+// The free processors of one partition, counted in whole slots of 1, 2, 4 ...
+// processors. All amounts are in millionths of a processor, as in Resources.
 struct FreeCapacity {
   static constexpr size_t kSizes = 6;  // slots of up to 32 processors
+  // The free processors in slots of each size, indexed by size: the slots of
+  // size n have 2^n processors. The same processors count for every size.
   using Slots = std::array<int64_t, kSizes>;
   Slots any{};       // on all machines
   Slots ordinary{};  // on those that are not spot machines
 
-  // The smallest size whose slot a task fits into; larger tasks than the last
-  // size count among that one.
+  // Returns the smallest size whose slots a task with this need fits into, or
+  // the largest size if the task is larger than all slots.
   static size_t SizeFor(int64_t task_cpus) {
     size_t size = 0;
     while (size + 1 < kSizes && SlotOf(size) < task_cpus) ++size;
     return size;
   }
 
-  // How much a slot of this size has.
+  // Returns the processors of one slot of this size.
   static int64_t SlotOf(size_t size) {
     return Resources::FromDecimal(static_cast<double>(1 << size));
   }
 
-  // Counts a machine with so much free, which may be negative.
+  // Adds the whole slots of a machine with `free_cpus` free processors, which
+  // may be negative and then adds nothing.
   void AddMachine(int64_t free_cpus, bool spot) {
     for (size_t size = 0; size < kSizes && free_cpus > 0; ++size) {
       int64_t cpus = free_cpus / SlotOf(size) * SlotOf(size);
@@ -50,21 +53,22 @@
   friend bool operator==(const FreeCapacity&, const FreeCapacity&) = default;
 };
 
-// The free capacity of every partition, as its owner last announced it, less
+// The free capacity of every partition as its owner last announced it, minus
 // what this controller has reserved there since. A partition whose owner has
-// not announced any lately counts as full.
+// not announced its capacity recently counts as full.
 class CapacityTable {
  public:
   explicit CapacityTable(uint32_t partition_count)
       : partitions_(partition_count) {}
 
-  // Replaces what is known of a partition, and with it all reservations there.
-  // Unknown partitions are ignored.
+  // Replaces the free capacity of a partition and drops all reservations there.
+  // Does nothing if the partition's number is out of range.
   void Update(uint32_t partition, const FreeCapacity& free, SteadyTime now) {
     if (partition < partitions_.size()) partitions_[partition] = {free, now};
   }
 
-  // How many of the job's tasks fit; 0 if the partition is unknown or its last
+  // Returns how many of the job's tasks fit into the partition's free
+  // processors; 0 if the partition's number is out of range or its last
   // announcement is too old.
   int64_t Tasks(uint32_t partition, const JobSpec& spec, SteadyTime now) const {
     if (partition >= partitions_.size() ||
@@ -76,7 +80,8 @@
     return std::max<int64_t>(0, cpus / SlotFor(spec));
   }
 
-  // Deducts tasks of the job until the next announcement of the partition.
+  // Subtracts the need of this many tasks of the job, until the partition's
+  // next announcement.
   void Reserve(uint32_t partition, const JobSpec& spec, int64_t tasks) {
     if (partition >= partitions_.size()) return;
     FreeCapacity& free = partitions_[partition].free;
@@ -84,8 +89,9 @@
     for (int64_t& cpus : free.ordinary) cpus -= SlotFor(spec) * tasks;
   }
 
-  // The partition other than `except` with capacity for the most of the job's
-  // tasks, and for how many; `otherwise` and 0 if none has any.
+  // Returns the partition other than `except` that has capacity for the largest
+  // number of the job's tasks, with that number. Returns `otherwise` and 0 if
+  // no partition has capacity.
   std::pair<uint32_t, int64_t> MostFreeCapacity(const JobSpec& spec,
                                                 uint32_t otherwise,
                                                 std::optional<uint32_t> except,
@@ -98,9 +104,9 @@
     return best;
   }
 
-  // The next partition after `partition`, in the order of their numbers and
-  // round, that has capacity for any of the job's tasks, and for how many;
-  // `partition` itself and 0 if there is none.
+  // Returns the first partition after `partition`, in numerical order with
+  // wrap-around, that has capacity for any of the job's tasks, with the number
+  // of tasks. Returns `partition` itself and 0 if there is none.
   std::pair<uint32_t, int64_t> NextWithCapacity(const JobSpec& spec,
                                                 uint32_t partition,
                                                 SteadyTime now) const {
@@ -113,20 +119,22 @@
   }
 
  private:
-  // What one task takes away: a whole slot, or more if it is larger than all.
+  // Returns the processors that one task is counted with: a whole slot, or its
+  // own need if it is larger than all slots.
   static int64_t SlotFor(const JobSpec& spec) {
     return std::max(
         spec.resources.cpus,
         FreeCapacity::SlotOf(FreeCapacity::SizeFor(spec.resources.cpus)));
   }
 
-  // Owners announce twice a second.
+  // The age at which an announcement is no longer used. Owners announce twice a
+  // second.
   static constexpr Duration kMaxAge = Millis(2500);
   struct Entry {
     FreeCapacity free;
     SteadyTime announced{};
   };
-  std::vector<Entry> partitions_;  // by number
+  std::vector<Entry> partitions_;  // indexed by partition
 };
 
 }  // namespace pitchfall
