--- a/src/core/model/job.cc
+++ b/src/core/model/job.cc
@@ -7,18 +7,18 @@
 namespace pitchfall {
 namespace {
 
-// Names of fields, punctuation and numbers of a record.
+// Upper bound for the field names, punctuation and numbers of a job record.
 constexpr size_t kRecordNumbers = 520;
-// Three numbers for each run of chunks with one owner, of up to 2, 3 and 5
-// digits, each with its comma.
+// Each run of consecutive chunks with the same owner is written as three
+// numbers of up to 2, 3 and 5 digits, each followed by a comma.
 constexpr size_t kOwnerRunBytes = 13;
 
-// A job's record may take up to half of a transaction, which holds more than
-// the record itself.
+// A job record may take up to half of a transaction, because the transaction
+// contains more than the record.
 constexpr size_t kMaxTransactionShare = kTransactionBytes / 2;
 
-// JSON writes control characters, and may write all beyond ASCII, as an escape
-// of six characters.
+// JSON writes control characters, and may write every character outside ASCII,
+// as an escape sequence of six characters.
 constexpr unsigned char kFirstPrintable = 0x20;
 constexpr unsigned char kDelete = 0x7f;
 constexpr size_t kUnicodeEscapeBytes = 6;
@@ -31,13 +31,15 @@
   return 1;
 }
 
-// Escaped, in the longest form that the text can take.
+// Returns the length of the longest JSON string that may represent the text,
+// with its quotes.
 size_t JsonBytes(const std::string& text) {
   size_t bytes = kQuotesBytes;
   for (unsigned char c : text) bytes += EscapedBytes(c);
   return bytes;
 }
 
+// Returns an upper bound for the text fields of a job record.
 size_t WordBytes(const JobSpec& spec) {
   size_t words = JsonBytes(spec.id) + JsonBytes(spec.job_class) +
                  JsonBytes(spec.team) + JsonBytes(spec.image) +
@@ -48,6 +50,8 @@
   return words;
 }
 
+// Returns the number of runs of consecutive chunks with the same owner and
+// epoch.
 size_t OwnerRuns(const std::vector<ChunkOwner>& owners) {
   size_t runs = owners.empty() ? 0 : 1;
   for (size_t i = 1; i < owners.size(); ++i) {
@@ -56,10 +60,12 @@
   return runs;
 }
 
-// Whether the team's limits leave room for as much as must run at once.
+// Checks that the tasks of the job that must run at the same time stay within
+// the team's limits.
 std::optional<Rejection> CheckTeamLimits(const JobSpec& spec,
                                          const Team& team) {
-  // Tasks of an array can run one after another, others only together.
+  // The tasks of an array job can run one after another; those of a gang or a
+  // service run at the same time.
   int64_t at_once = spec.shape == Shape::kArray ? 1 : spec.tasks;
   Resources resources = spec.resources * at_once;
   if (team.cpus_limit > 0 && resources.cpus > team.cpus_limit) {
@@ -75,8 +81,8 @@
   return std::nullopt;
 }
 
-// Whether a task fits an empty machine of the type, and the job allows the type
-// and one of the zones in which there is any.
+// Whether the job allows the machine type and one of the zones that offer it,
+// and a task fits into an empty machine of the type.
 bool TaskFitsType(const JobSpec& spec, const MachineType& type) {
   if (!spec.AllowsType(type.name)) return false;
   bool zone_allowed =
@@ -99,8 +105,8 @@
 
 JobRecord FinalRecord(JobRecord record, JobState state, size_t value_bytes) {
   record.state = state;
-  // A cancelled job's tasks may still be on machines; the epochs of its chunks
-  // are needed to store their ends.
+  // Tasks of a cancelled job may still be on machines, and the epochs of its
+  // chunks are needed to store that these tasks have ended.
   if (state == JobState::kDone) record.owners.clear();
   if (RecordBytes(record) <= value_bytes) return record;
   record.spec.types.reset();
--- a/src/core/model/job_record.h
+++ b/src/core/model/job_record.h
@@ -1,4 +1,4 @@
-// Jobs as users describe them and as the state service holds them.
+// Jobs as users describe them and as the state service stores them.
 #ifndef PITCHFALL_CORE_MODEL_JOB_RECORD_H_
 #define PITCHFALL_CORE_MODEL_JOB_RECORD_H_
 
@@ -13,35 +13,40 @@
 
 namespace pitchfall {
 
-// In ascending order; the numbers are stored.
+// The priorities in ascending order. The numeric values are stored and must not
+// change.
 enum class Priority : uint8_t { kLow = 0, kNormal, kHigh, kProduction };
 
-// How the tasks of a job relate to each other; the numbers are stored.
+// How the tasks of a job relate to each other. The numeric values are stored
+// and must not change.
 enum class Shape : uint8_t {
-  kArray = 0,  // independent tasks, each runs to completion
+  kArray = 0,  // independent tasks that run to completion
   kGang,       // tasks that run at the same time
   kService,    // tasks that run until the job is cancelled
 };
 
-// A job as its user described it.
+// The description of a job by its user.
 struct JobSpec {
-  std::string id;  // chosen by the user, unique
-  std::string job_class;
+  std::string id;         // chosen by the user, unique
+  std::string job_class;  // class that the deployment's objectives refer to
   std::string team;
   Shape shape = Shape::kArray;
   Priority priority = Priority::kNormal;
   uint32_t tasks = 0;
   Resources resources;  // requested by each task
   std::string image;
-  double image_gb = 0;  // to fetch onto a machine that lacks the image
-  std::optional<std::vector<std::string>> types;  // none: any
-  std::string zone;                               // empty: any
-  bool one_zone = false;                          // all tasks in the same zone
-  bool spread = false;     // over zones: none runs more than half
-  bool spot = false;       // may run on spot instances
+  double image_gb = 0;  // to fetch onto a machine without the image
+  // The machine types that the tasks may run on. Without a list, any type is
+  // allowed.
+  std::optional<std::vector<std::string>> types;
+  std::string zone;        // empty: any zone
+  bool one_zone = false;   // all tasks must run in the same zone
+  bool spread = false;     // no zone may run more than half of the tasks
+  bool spot = false;       // tasks may run on spot instances
   Duration estimate{0};    // expected run time of a task
-  Duration checkpoint{0};  // interval between checkpoints; 0: none are made
+  Duration checkpoint{0};  // interval between checkpoints; 0: no checkpoints
   Duration save{0};        // time that saving a checkpoint takes
+  // The time after submission by which the job should be done.
   std::optional<Duration> deadline;
   friend bool operator==(const JobSpec&, const JobSpec&) = default;
 
@@ -52,14 +57,15 @@
   }
 };
 
-// The numbers are stored.
+// The numeric values are stored and must not change.
 enum class JobState : uint8_t { kAccepted = 0, kDone, kCancelled };
 
-// The partition that runs a chunk. Only it starts the chunk's tasks, and only
-// it transfers the chunk, while nothing of it is bound to a machine.
+// The partition that runs a chunk. Only this partition starts the chunk's
+// tasks. Only it may transfer the chunk to another partition, and only while
+// none of the chunk's tasks is bound to a machine.
 struct ChunkOwner {
   uint32_t partition = 0;
-  uint32_t epoch = 0;
+  uint32_t epoch = 0;  // how often the chunk has been transferred
   friend bool operator==(const ChunkOwner&, const ChunkOwner&) = default;
 };
 
@@ -70,16 +76,19 @@
   JobState state = JobState::kAccepted;
   WallTime submitted;
   uint32_t chunk_size = 8;  // tasks in one ChunkRecord
-  uint32_t home = 0;        // partition that takes the first chunk
-  // How many partitions take chunks in turn, from `home` on.
+  uint32_t home = 0;        // partition that runs the first chunk at first
+  // The number of partitions, counted from `home` on, that the chunks are
+  // assigned to in rotation at first.
   uint32_t spread_over = 1;
-  // By chunk, once one has been given to another partition; until then empty.
+  // The owners, indexed by chunk. Empty until the first transfer of a chunk.
   std::vector<ChunkOwner> owners;
   friend bool operator==(const JobRecord&, const JobRecord&) = default;
 
-  // Done or cancelled: no task is started any more.
+  // Whether the job is done or cancelled: none of its tasks is started any
+  // more.
   bool final() const { return state != JobState::kAccepted; }
-  // Precondition: `chunk_size` is not 0, which the decoder refuses.
+  // Precondition: `chunk_size` is not 0. The decoder rejects records where it
+  // is.
   uint32_t chunk_count() const {
     return (spec.tasks + chunk_size - 1) / chunk_size;
   }
