--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -1,5 +1,5 @@
-// A machine as its partition's owner knows it: what is bound to it in the state
-// service, and what its worker has reported.
+// A machine as the owner of its partition knows it: the stored assignments to
+// it, and what its worker has reported.
 #ifndef PITCHFALL_CORE_MODEL_MACHINE_H_
 #define PITCHFALL_CORE_MODEL_MACHINE_H_
 
@@ -18,120 +18,144 @@
 
 using TaskKey = std::pair<std::string, uint32_t>;  // job, task
 
-// A stored assignment to this machine, and what the worker has shown of it.
+// A stored assignment to a machine, with the progress of the attempt as the
+// worker's heartbeats show it.
 struct BoundAttempt {
   const Job* job = nullptr;
   uint32_t attempt = 0;
-  // Bound by an earlier owner of the partition, who may have sent the start.
+  // Whether an earlier owner of the partition bound the attempt. That owner may
+  // have sent the start command.
   bool bound_by_previous_owner = false;
 
-  // What the worker has shown to this owner.
-  bool reported = false;  // in any heartbeat
+  // What the worker has reported to this owner.
+  bool reported = false;  // whether any heartbeat has shown the attempt
+  // The state in the newest heartbeat that shows the attempt.
   std::optional<TaskState> state;
+  // When a heartbeat first showed the attempt as running.
   std::optional<SteadyTime> running_since;
-  bool proven = false;  // a replica that has run for a while
+  // Whether this is a replica that has run long enough to count as healthy.
+  bool proven = false;
 
-  // What has been sent. The start: the heartbeat whose answer last carried it.
+  // The heartbeat whose answer last contained the start command; empty if none
+  // was sent.
   std::optional<HeartbeatId> start_sent;
-  bool stop_sent = false;  // by a direct command that has not failed
+  // Whether a stop was sent by a direct command that has not failed.
+  bool stop_sent = false;
 
-  // Why the task should stop; any of these may hold at a time.
-  bool drain_requested = false;  // its machine is about to go
-  bool preempted = false;        // for more important work of its team
-  bool displaced = false;        // for a replica that needs its place
+  // The reasons to stop the task. Several may hold at the same time.
+  bool drain_requested = false;  // its machine is to be deleted or preempted
+  bool preempted = false;        // for work of its team with a higher priority
+  bool displaced = false;        // to make room for a replica
   bool StopRequested() const {
     return drain_requested || preempted || displaced;
   }
-  // It should stop at once, without saving a checkpoint.
+  // Whether the task should stop at once, without saving a checkpoint.
   bool stop_without_saving = false;
 
-  // That it is not bound here any more is being stored, or was, for all that
-  // is known: it may be started elsewhere at any moment, so never here now.
+  // Whether a write that removes the assignment is in progress or its outcome
+  // is unknown. The task may be started on another machine at any moment, so
+  // the attempt must not be started here any more.
   bool ending = false;
 };
 
-// Whether the worker receives what is sent to it, by what its heartbeats show.
+// Evidence from a worker's heartbeats on whether it receives the answers that
+// are sent to it.
 struct InboundReachability {
-  // Since when it has shown no sign of receiving answers, although it should
-  // have: no fencing token, starts that are not carried out, agent epochs that
-  // end.
+  // Since when the worker has seemed not to receive answers: it does not show
+  // the fencing token, does not carry out starts, or ends its agent epoch
+  // although its heartbeats are answered. Empty if it is not suspected.
   std::optional<SteadyTime> suspect_since;
-  SteadyTime agent_epoch_since{};  // when its agent epoch was first heard of
-  int answers_in_epoch = 0;
+  // When the first heartbeat of the worker's present agent epoch arrived.
+  SteadyTime agent_epoch_since{};
+  int answers_in_epoch = 0;  // answers sent in the present agent epoch
+  // Whether an agent epoch ended although it was answered in time. It stays set
+  // until an agent epoch has lasted long enough.
   bool epoch_ended_while_answered = false;
 };
 
-// What the transaction being built adds to a machine.
+// What the starts in the transaction that is being built add to a machine.
 struct PlannedUse {
   Resources resources;
   std::set<std::string> images;
-  // Jobs whose replicas start here.
+  // Identifiers of the jobs whose replicas start here.
   std::set<std::string> services;
 };
 
+// A machine of a partition. Only the owner of the partition keeps this state.
 struct Machine {
-  // As the worker describes it.
+  // As the worker's newest heartbeat describes it.
   std::string name;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  Resources capacity;  // zero until the type is known
+  Resources capacity;  // zero until the machine type is known
 
   // What uses its capacity.
   std::map<TaskKey, BoundAttempt> bound;
-  Resources used;         // by what is bound
-  Resources unbound_use;  // by reported tasks that are not bound
+  Resources used;         // by bound attempts
+  Resources unbound_use;  // by reported tasks that are not bound here
   PlannedUse planned;
 
-  // Images that are surely there, and those of bound attempts (how many), which
-  // will be.
+  // Images that the machine has, because a task with the image has run on it.
   std::set<std::string> images;
+  // The number of bound attempts by image. The machine has these images or will
+  // fetch them.
   std::map<std::string, int> bound_images;
 
   // Heartbeats and answers.
-  std::optional<WorkerHeartbeat> heartbeat;  // the newest
-  SteadyTime heard{};                        // when it came
-  RequestId pending_request = 0;             // the heartbeat to answer; 0: none
-  SteadyTime pending_since{};
-  // Whether the worker is known to have seen this owner's fencing token, and
-  // the last answer that it can have taken since. Without the former nothing
-  // follows from silence: an earlier owner may still answer.
+  std::optional<WorkerHeartbeat> heartbeat;  // the newest; empty: none yet
+  SteadyTime heard{};             // when the newest heartbeat arrived
+  RequestId pending_request = 0;  // of the unanswered heartbeat; 0: none
+  SteadyTime pending_since{};     // when the unanswered heartbeat arrived
+  // Whether the worker has shown this owner's fencing token. Until it has, its
+  // lease cannot be assumed to expire when this owner does not answer, because
+  // an earlier owner may still answer the worker.
   bool fencing_token_seen = false;
+  // When this owner last answered a heartbeat, or first saw its fencing token
+  // in one. The worker's lease may have been renewed until then.
   SteadyTime last_answer{};
-  // Until its next heartbeat, as far as can be expected: starts travel in
-  // answers.
+  // The expected time until the next heartbeat. Starts are sent in answers, so
+  // that they have to wait for it.
   Duration until_heartbeat{0};
-  // Heard for the first time or after a silence: that may be a copy of a
-  // heartbeat that the network held back. The next heartbeat tells.
+  // Whether the last heartbeat was the first one, or the first one after a long
+  // silence. It may be a copy that the network delayed, which only the next
+  // heartbeat shows.
   bool awaits_second_heartbeat = true;
   InboundReachability inbound;
 
-  // Reasons not to give it tasks; any of these may hold at a time.
-  bool cordoned = false;     // chosen by the leader to be returned
-  bool quarantined = false;  // fails what it starts
-  bool deleting = false;     // deletion asked for; it may come any time now
-  bool gone = false;         // proven: nothing runs on it any more
-  std::optional<SteadyTime> preemption_at;  // when a spot machine is taken
-  SteadyTime paused_until{};                // refused a start a moment ago
-
-  std::optional<SteadyTime> idle_since;
-  SteadyTime next_stop{};  // a direct command failed a moment ago
-
-  // Whether a task of the job is bound to it, or will be by the transaction
-  // being built.
+  // The reasons not to start tasks on the machine. Several may hold at the same
+  // time.
+  bool cordoned = false;     // chosen by the leader to be scaled in
+  bool quarantined = false;  // tasks fail on it
+  bool deleting = false;     // deletion requested; it may happen at any time
+  // Its lease has expired, which proves that no task runs on it any more.
+  bool gone = false;
+  std::optional<SteadyTime> preemption_at;  // when the cloud reclaims it
+  SteadyTime paused_until{};                // set after it refused a start
+
+  std::optional<SteadyTime> idle_since;  // empty: not known to be idle
+  // No direct stops are sent before this time. Set after a direct command
+  // failed.
+  SteadyTime next_stop{};
+
+  // Whether a task of the job is bound to the machine, or a replica of the job
+  // will be by the transaction that is being built.
   bool HasTaskOf(const std::string& job) const {
     auto first = bound.lower_bound({job, 0});
     return (first != bound.end() && first->first.first == job) ||
            planned.services.contains(job);
   }
-  // Whether the image is to be fetched anyhow.
+  // Whether a bound or planned attempt uses the image, so that the machine has
+  // it or will fetch it in any case.
   bool WillHaveImage(const std::string& image) const {
     return bound_images.contains(image) || planned.images.contains(image);
   }
+  // Returns the free capacity; components may be negative.
   Resources Free() const {
     return capacity - used - unbound_use - planned.resources;
   }
+  // Whether tasks may be started on the machine.
   bool TakesTasks(SteadyTime now) const {
     bool heard_well = heartbeat && fencing_token_seen &&
                       !awaits_second_heartbeat && !inbound.suspect_since;
--- a/src/core/model/membership_records.h
+++ b/src/core/model/membership_records.h
@@ -1,4 +1,4 @@
-// Which controllers are alive and which of them owns a partition.
+// Stored records of the live controllers and of the owners of partitions.
 #ifndef PITCHFALL_CORE_MODEL_MEMBERSHIP_RECORDS_H_
 #define PITCHFALL_CORE_MODEL_MEMBERSHIP_RECORDS_H_
 
@@ -9,22 +9,23 @@
 
 namespace pitchfall {
 
-// A live controller process. Its key is attached to a lease, so that the record
-// vanishes some time after the process does.
+// A live controller process. The record's key is attached to a lease, so that
+// it is deleted some time after the process ends.
 struct NodeRecord {
-  std::string label;
-  std::string incarnation;
+  std::string label;        // of the controller in the deployment
+  std::string incarnation;  // differs for every process of the controller
   uint32_t version = kFirstVersion;
   friend bool operator==(const NodeRecord&, const NodeRecord&) = default;
 };
 
-// Names the owner of a partition. The modification revision of this key is the
-// partition's fencing token.
+// The owner of a partition. The modification revision of the record's key is
+// the partition's fencing token.
 struct PartitionRecord {
   std::string label;
   std::string incarnation;
-  // The owner before, if it gave the partition up because its workers could not
-  // reach it: it should not get it back at once.
+  // The label of the previous owner if it handed the partition over because
+  // workers could not reach it; otherwise empty. It should not get the
+  // partition back at once.
   std::string unreachable_owner;
   friend bool operator==(const PartitionRecord&,
                          const PartitionRecord&) = default;
--- a/src/core/model/outbox.h
+++ b/src/core/model/outbox.h
@@ -1,5 +1,5 @@
-// Collects the effects of a batch of commands, and routes the replies to
-// outgoing calls back to whoever made them.
+// Collects the effects of a batch of commands, and passes the replies to
+// outgoing calls to the callers' handlers.
 #ifndef PITCHFALL_CORE_MODEL_OUTBOX_H_
 #define PITCHFALL_CORE_MODEL_OUTBOX_H_
 
@@ -16,25 +16,31 @@
 
 namespace pitchfall {
 
+// Not thread-safe. Every outgoing call gets an identifier that is unique in
+// this outbox.
 class Outbox {
  public:
   using StateHandler = std::function<void(const StateReply&)>;
   using CloudHandler = std::function<void(const CloudReply&)>;
   using WorkerHandler = std::function<void(const WorkerReply&)>;
 
+  // The times of the current batch of commands.
   void set_now(Now now) { now_ = now; }
   const Now& now() const { return now_; }
 
+  // Adds the reply to an incoming request.
   void Answer(RequestId request, int status, ReplyBody body = {},
               std::optional<Duration> retry_after = {}) {
     effects_.push_back(Reply{request, status, std::move(body), retry_after});
   }
-  // The usual way to say "not now".
+  // Answers with status 503 and the time after which the client should retry.
   void Refuse(RequestId request, Duration retry_after) {
     Answer(request, http_status::kServiceUnavailable,
            Problem{"try again later"}, retry_after);
   }
 
+  // Add an outgoing call. The handler is called once, when Handle receives the
+  // reply; a call without an answer gets a reply with status 0.
   void CallState(StateRequest request, Duration timeout, StateHandler handler) {
     CallId call = ++last_call_;
     state_handlers_.emplace(call, std::move(handler));
@@ -52,23 +58,30 @@
     effects_.push_back(
         WorkerCall{call, std::move(address), std::move(request), timeout});
   }
+  // Adds a heartbeat to all other controllers.
   void Send(PeerHeartbeat heartbeat) {
     effects_.push_back(SendPeerHeartbeat{std::move(heartbeat)});
   }
 
+  // Adds a log line, formatted with the fmt library.
   template <typename... Args>
   void Log(LogLevel level, fmt::format_string<Args...> text, Args&&... args) {
     effects_.push_back(
         LogLine{level, fmt::format(text, std::forward<Args>(args)...)});
   }
 
+  // Pass a reply to the handler of its call. Replies to unknown calls are
+  // ignored.
   void Handle(const StateReply& reply) { Route(state_handlers_, reply); }
   void Handle(const CloudReply& reply) { Route(cloud_handlers_, reply); }
   void Handle(const WorkerReply& reply) { Route(worker_handlers_, reply); }
 
+  // Returns the effects added since the last call, in the order of their
+  // addition.
   std::vector<Effect> TakeEffects() { return std::exchange(effects_, {}); }
 
  private:
+  // The handler is removed before it is called, because it may make new calls.
   template <typename Map, typename Message>
   static void Route(Map& handlers, const Message& reply) {
     auto node = handlers.extract(reply.call);
--- a/src/core/model/records.h
+++ b/src/core/model/records.h
@@ -1,7 +1,8 @@
-// What pitchfall keeps in the state service. These records are the truth; all
-// that a process holds besides is a cache of them or can be learned again.
+// The records that pitchfall keeps in the state service. They are the
+// authoritative state: everything else that a process holds is a cache of them
+// or can be obtained again.
 //
-// src/wire/records.h converts them to and from their stored form.
+// src/wire/records.h converts the records to and from their stored form.
 #ifndef PITCHFALL_CORE_MODEL_RECORDS_H_
 #define PITCHFALL_CORE_MODEL_RECORDS_H_
 
@@ -17,7 +18,7 @@
 
 namespace pitchfall {
 
-// Any record, as the value of a key.
+// A record of any kind, which is the value of a key.
 using Record = std::variant<JobRecord, SegmentRecord, NodeRecord,
                             PartitionRecord, InstanceRequestRecord, TypesRecord,
                             TeamRecord, DrainRecord, LoadRecord, SizingRecord>;
--- a/src/core/model/state_keys.h
+++ b/src/core/model/state_keys.h
@@ -1,5 +1,5 @@
-// Keys in the state service. Everything lies under one prefix, so that one
-// watch sees all changes in order.
+// Keys in the state service. All keys have a common prefix, so that a single
+// watch returns all changes in order.
 #ifndef PITCHFALL_CORE_MODEL_STATE_KEYS_H_
 #define PITCHFALL_CORE_MODEL_STATE_KEYS_H_
 
@@ -9,7 +9,7 @@
 namespace pitchfall::keys {
 
 inline constexpr char kPrefix[] = "pf/";
-// Each ends where the name of the record begins.
+// Prefixes of keys; the name of the record follows.
 inline constexpr char kJobs[] = "pf/jobs/";
 inline constexpr char kSegments[] = "pf/segments/";
 inline constexpr char kNodes[] = "pf/nodes/";
@@ -18,14 +18,14 @@
 inline constexpr char kTeams[] = "pf/teams/";
 inline constexpr char kLoads[] = "pf/loads/";
 inline constexpr char kWriteFences[] = "pf/fences/";
-// Of these there is one record each.
+// Complete keys, with one record each.
 inline constexpr char kTypes[] = "pf/types";
 inline constexpr char kDrain[] = "pf/drain";
 inline constexpr char kSizing[] = "pf/sizing";
 
 inline std::string Job(const std::string& id) { return kJobs + id; }
 
-// `slot` is a place in the partition's ring of segments.
+// `slot` is the segment's index in the partition's ring of segments.
 inline std::string Segment(uint32_t partition, uint32_t slot) {
   return kSegments + std::to_string(partition) + "/" + std::to_string(slot);
 }
@@ -39,8 +39,9 @@
   return kPartitions + std::to_string(partition);
 }
 
-// Changed after a write whose outcome stays unknown, so that a late copy of it
-// finds a condition unmet.
+// Every transaction of a partition's owner has a condition on this key. The key
+// is changed after a write whose outcome is unknown, so that a delayed copy of
+// that write fails.
 inline std::string WriteFence(uint32_t partition, uint64_t fencing_token) {
   return kWriteFences + std::to_string(partition) + "." +
          std::to_string(fencing_token);
--- a/src/core/model/task_set.h
+++ b/src/core/model/task_set.h
@@ -1,4 +1,4 @@
-// Sets of task numbers of one job.
+// Sets of task numbers within one job.
 #ifndef PITCHFALL_CORE_MODEL_TASK_SET_H_
 #define PITCHFALL_CORE_MODEL_TASK_SET_H_
 
@@ -7,7 +7,8 @@
 
 namespace pitchfall {
 
-// Task numbers, kept as ranges: tasks mostly end in blocks.
+// Task numbers, stored as ranges because tasks mostly end in blocks of
+// consecutive numbers.
 using TaskSet = boost::icl::interval_set<uint32_t>;
 
 inline void AddTask(TaskSet& set, uint32_t task) {
