--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -129,7 +129,8 @@
   bool cordoned = false;     // chosen by the leader to be scaled in
   bool quarantined = false;  // tasks fail on it
   bool deleting = false;     // deletion requested; it may happen at any time
-  // Its lease has expired, which proves that no task runs on it any more.
+  // Its lease has expired or the cloud has confirmed its deletion: no task runs
+  // on it any more.
   bool gone = false;
   std::optional<SteadyTime> preemption_at;  // when the cloud reclaims it
   SteadyTime paused_until{};                // set after it refused a start
--- a/src/core/model/messages.h
+++ b/src/core/model/messages.h
@@ -1,5 +1,5 @@
-// Commands that the core takes in and effects that it asks for. The core never
-// touches a socket or a clock; src/io does that.
+// The commands that the core receives and the effects that it requests. The
+// core uses neither sockets nor clocks; src/io does.
 #ifndef PITCHFALL_CORE_MODEL_MESSAGES_H_
 #define PITCHFALL_CORE_MODEL_MESSAGES_H_
 
@@ -18,39 +18,49 @@
 
 namespace pitchfall {
 
-using RequestId = uint64_t;  // an incoming request that waits for its answer
-using CallId = uint64_t;     // an outgoing request
+using RequestId = uint64_t;  // identifies an incoming request until its answer
+using CallId = uint64_t;     // identifies an outgoing request
 
 // ---- Workers ----
 
-enum class TaskState : uint8_t { kFetching, kRunning, kSaving, kExited };
+enum class TaskState : uint8_t {
+  kFetching,  // fetches its image or waits to start
+  kRunning,
+  kSaving,  // saves a checkpoint after a stop command
+  kExited   // kept by the worker until acknowledged
+};
+// Why a task has exited. The last three mean that the worker refused to start
+// it.
 enum class ExitCause : uint8_t {
-  kNone,
+  kNone,  // has not exited
   kDone,
   kStopped,
   kError,
-  kNoCapacity,
-  kBusy,
-  kUnknownTask,
+  kNoCapacity,   // the machine's capacity is in use
+  kBusy,         // the machine runs a task of the same job already
+  kUnknownTask,  // the worker does not know the job
 };
 
+// An attempt of a task on a worker, as the worker reports it.
 struct ReportedTask {
   std::string job;
   uint32_t task = 0;
   uint32_t attempt = 0;
   TaskState state = TaskState::kFetching;
-  ExitCause cause = ExitCause::kNone;
+  ExitCause cause = ExitCause::kNone;  // set if the state is kExited
 };
 
-// Orders the heartbeats of one machine: a worker's agent counts them anew in
-// each of its epochs.
+// Orders the heartbeats of one machine. A worker's agent begins a new epoch
+// when its lease has expired, and numbers the heartbeats of each epoch from the
+// start.
 struct HeartbeatId {
   uint64_t agent_epoch = 0;
   uint64_t sequence = 0;
   friend auto operator<=>(const HeartbeatId&, const HeartbeatId&) = default;
 };
 
-// What a worker says of its machine, periodically and when something changes.
+// The state of a machine, which its worker sends periodically and when
+// something changes.
 struct WorkerHeartbeat {
   std::string machine;
   std::string address;
@@ -58,23 +68,31 @@
   std::string zone;
   bool spot = false;
   uint64_t agent_epoch = 0;
-  uint64_t seq = 0;
+  uint64_t seq = 0;  // number of the heartbeat within the agent epoch
+  // The newest fencing token that the worker has received; 0 if none.
   uint64_t fencing_token = 0;
-  std::optional<Duration> preemption_notice;  // until the machine is taken
+  // The time until the cloud reclaims the spot machine; empty: no notice.
+  std::optional<Duration> preemption_notice;
   std::vector<ReportedTask> tasks;
 
   HeartbeatId id() const { return {agent_epoch, seq}; }
 };
 
+// A command to a worker about one attempt of a task.
 struct WorkerCommand {
-  enum class Op : uint8_t { kStart, kStop, kAcknowledge };
+  enum class Op : uint8_t {
+    kStart,
+    kStop,
+    kAcknowledge  // the task's end is stored: the worker may forget the task
+  };
   Op op = Op::kStart;
   std::string job;
   uint32_t task = 0;
   uint32_t attempt = 0;
-  Duration grace{0};
+  Duration grace{0};  // of a stop: time to save a checkpoint; 0: stop at once
 };
 
+// The answer to a worker's heartbeat, which also renews the worker's lease.
 struct WorkerCommands {
   uint64_t fencing_token = 0;
   std::vector<WorkerCommand> commands;
@@ -82,6 +100,7 @@
 
 // ---- State service ----
 
+// Holds if the key's modification revision is the given one.
 struct Condition {
   std::string key;
   uint64_t mod_revision = 0;  // 0: the key does not exist
@@ -89,57 +108,66 @@
 
 struct Write {
   std::string key;
-  std::optional<Record> value;  // none: delete
-  uint64_t lease = 0;           // 0: none
+  std::optional<Record> value;  // empty: the key is deleted
+  uint64_t lease = 0;           // lease that the key is attached to; 0: none
 };
 
+// Carries out all writes if all conditions hold, and otherwise none.
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
 
+// Requests a new lease.
 struct Grant {
   Duration ttl{0};
 };
+// Renews a lease for its full time to live.
 struct Renew {
   uint64_t lease = 0;
 };
-struct WatchRead {  // answers at once with all changes since `from`
+// Reads all changes after the revision `from`. The answer comes at once, even
+// if there are none.
+struct WatchRead {
   uint64_t from = 0;
 };
+// Reads one page of all keys and values.
 struct ListRead {
-  std::string after;
+  std::string after;  // last key of the previous page; empty: the first page
 };
 
 using StateRequest =
     std::variant<Transaction, Grant, Renew, WatchRead, ListRead>;
 
+// A change of a key or, in a list, its present value.
 struct Change {
   std::string key;
-  std::optional<Record> value;  // none: deleted
+  std::optional<Record> value;  // empty: the key was deleted
   uint64_t mod_revision = 0;
-  // Not written by this version of pitchfall. Such a change is passed over, so
-  // that writes that would build on it fail.
+  // Whether the value cannot be read by this version of pitchfall. Such a
+  // change is ignored, so that later writes with a condition on the key fail.
   bool unreadable = false;
 };
 
-// `status` 0: no answer; the request may have been carried out or may yet be.
+// In this and the other replies, `status` is an HTTP status code, or 0 if no
+// answer arrived; then the request may have been carried out or may still be
+// (http_status::kNoAnswer).
 struct StateReply {
   CallId call = 0;
   int status = 0;
-  uint64_t revision = 0;
-  uint64_t lease = 0;
-  std::vector<std::string> failed;
-  std::vector<Change> changes;  // of a watch read or a list
-  bool more = false;
-  bool no_lease = false;  // 400 with "no such lease"
+  uint64_t revision = 0;  // of a successful transaction, or of what was read
+  uint64_t lease = 0;     // of a grant
+  std::vector<std::string> failed;  // keys whose conditions are not met
+  std::vector<Change> changes;      // of a WatchRead or a ListRead
+  bool more = false;                // of a ListRead: there is another page
+  bool no_lease = false;            // status 400 with "no such lease"
 };
 
 // ---- Cloud ----
 
 struct GetTypes {};
 struct CreateInstances {
-  std::string name;
+  std::string name;  // idempotency key of the request
   std::string type;
   std::string zone;
   bool spot = false;
@@ -148,13 +176,15 @@
 struct DeleteMachines {
   std::vector<std::string> machines;
 };
+// Reads one page of the list of machines.
 struct ListMachines {
-  std::string after;
+  std::string after;  // last name on the previous page; empty: the first page
 };
 using CloudRequest =
     std::variant<GetTypes, CreateInstances, DeleteMachines, ListMachines>;
 
 enum class MachineStatus : uint8_t { kBooting, kRunning, kFailed };
+// A machine in the cloud's list.
 struct ListedMachine {
   std::string name;
   std::string address;
@@ -168,63 +198,72 @@
 struct CloudReply {
   CallId call = 0;
   int status = 0;
-  bool no_capacity = false;
-  std::vector<MachineType> types;
-  std::vector<std::string> created;
-  std::vector<ListedMachine> listed;
-  bool more = false;
+  bool no_capacity = false;           // of CreateInstances: "no capacity"
+  std::vector<MachineType> types;     // of GetTypes
+  std::vector<std::string> created;   // of CreateInstances: the machines' names
+  std::vector<ListedMachine> listed;  // of ListMachines
+  bool more = false;                  // of ListMachines: there is another page
 };
 
 // ---- Workers, called directly ----
 
+// Sends commands outside of an answer to a heartbeat, or none to announce the
+// fencing token only.
 struct CommandWorker {
   uint64_t fencing_token = 0;
   uint64_t agent_epoch = 0;
   std::vector<WorkerCommand> commands;
 };
+// Requests the worker's present heartbeat.
 struct InspectWorker {};
 using WorkerRequest = std::variant<CommandWorker, InspectWorker>;
 struct WorkerReply {
   CallId call = 0;
   int status = 0;
-  std::optional<WorkerHeartbeat> heartbeat;
+  std::optional<WorkerHeartbeat> heartbeat;  // empty: the reply has none
 };
 
 // ---- Other controllers ----
 
+// What a controller tells the others about itself and its partitions.
 struct PeerHeartbeat {
-  std::string label;
-  std::string incarnation;
-  WallTime sent;
-  Duration state_age{0};  // since this controller last read the state
-  // Per partition: workers that came here in the last seconds because they
-  // could not reach its owner.
+  std::string label;        // of the sender
+  std::string incarnation;  // of the sender
+  WallTime sent;            // by the sender's wall clock
+  Duration state_age{0};    // since the sender last read the state
+  // The number of workers, indexed by partition, that recently sent their
+  // heartbeats to the sender because they could not reach the owner.
   std::vector<uint32_t> misrouted_workers;
-  // Of the partitions that I own.
+  // The free capacity of the partitions that the sender owns.
   std::map<uint32_t, FreeCapacity> free;
-  // What this controller has lately used of the shared rates, a second.
+  // The sender's recent use of the shared rates of the state service, per
+  // second.
   double requests = 0;
   double writes = 0;
 
-  // The rest bounds how long owners may answer without the state service (see
-  // core/state/cancellation_watermark.h).
-  Duration uptime{0};        // of this process
-  uint64_t revision = 0;     // up to which this controller knows everything
-  SteadyTime sender_time{};  // the sender's clock; nobody else reads it
-  // The newest mark heard from each controller for which `cancelled` is whole.
+  // The remaining fields determine how long partition owners may answer workers
+  // without the state service (see core/state/cancellation_watermark.h).
+  Duration uptime{0};     // since the sender's process sent its first heartbeat
+  uint64_t revision = 0;  // up to which the sender knows all changes
+  // The sender's steady clock. Receivers do not interpret it but echo it.
+  SteadyTime sender_time{};
+  // The newest sender time received from each controller for which the list
+  // `cancelled` is complete.
   struct Echo {
     std::string label;
     std::string incarnation;
     SteadyTime sender_time{};
   };
   std::vector<Echo> echoes;
-  // Jobs known to be cancelled since the revisions of those echoed.
+  // Jobs that the sender knows to have been cancelled after the lowest revision
+  // among the controllers that get an echo.
   std::vector<std::string> cancelled;
-  std::map<uint32_t, uint64_t> tokens;  // of the partitions that I own
+  std::map<uint32_t, uint64_t> tokens;  // fencing tokens by owned partition
 };
 
 // ---- Commands ----
 
+// Requests of users and workers arrive as the following commands.
 struct SubmitJob {
   RequestId request = 0;
   JobSpec spec;
@@ -244,6 +283,7 @@
   RequestId request = 0;
   WorkerHeartbeat heartbeat;
 };
+// Arrives at regular intervals, so that time-driven work is done.
 struct Tick {};
 
 using Command = std::variant<SubmitJob, PollJob, CancelJob, HealthCheck,
@@ -252,32 +292,39 @@
 
 // ---- Effects ----
 
+// The state of a job as its user sees it.
 struct JobAnswer {
   std::string id;
   enum class Status : uint8_t { kQueued, kRunning, kDone, kCancelled };
   Status status = Status::kQueued;
-  bool counts = false;  // with the numbers of tasks, as a poll wants them
+  // Whether the body shows the numbers of tasks, as the answer to a poll does.
+  bool counts = false;
   uint32_t done = 0;
   uint32_t running = 0;
 };
+// Directs a worker to the owner of its partition.
 struct Redirect {
-  std::string owner;  // empty: nobody known
+  std::string owner;  // label of the owner; empty: none is known
 };
+// An error message for the client.
 struct Problem {
   std::string message;
 };
 using ReplyBody =
     std::variant<std::monostate, JobAnswer, WorkerCommands, Redirect, Problem>;
 
+// The answer to an incoming request.
 struct Reply {
   RequestId request = 0;
   int status = 200;
   ReplyBody body;
-  std::optional<Duration> retry_after;
-  // The client is better served elsewhere: its next request should not come
-  // over this connection.
+  std::optional<Duration> retry_after;  // empty: no Retry-After header
+  // Whether to close the connection, because another controller can serve the
+  // client better.
   bool close = false;
 };
+// Outgoing requests. Each gets a reply with the same `call`; without an answer
+// within `timeout`, the reply has status 0.
 struct StateCall {
   CallId call = 0;
   StateRequest request;
@@ -294,6 +341,7 @@
   WorkerRequest request;
   Duration timeout{0};
 };
+// Sends the heartbeat to all other controllers.
 struct SendPeerHeartbeat {
   PeerHeartbeat heartbeat;
 };
