--- a/src/core/base/resources.h
+++ b/src/core/base/resources.h
@@ -53,15 +53,15 @@
            memory <= available.memory;
   }
   // Returns how many tasks that each need these resources fit into `available`,
-  // but at most `most`, and never less than 0.
-  int64_t CountIn(const Resources& available, int64_t most) const {
+  // but at most `max_count`, and never less than 0.
+  int64_t CountIn(const Resources& available, int64_t max_count) const {
     auto limit = [&](int64_t need, int64_t have) {
-      if (need > 0) most = std::min(most, have < 0 ? 0 : have / need);
+      if (need > 0) max_count = std::min(max_count, have < 0 ? 0 : have / need);
     };
     limit(cpus, available.cpus);
     limit(gpus, available.gpus);
     limit(memory, available.memory);
-    return std::max<int64_t>(most, 0);
+    return std::max<int64_t>(max_count, 0);
   }
 };
 
--- a/src/core/model/free_capacity.h
+++ b/src/core/model/free_capacity.h
@@ -31,12 +31,12 @@
   // the largest size if the task is larger than all slots.
   static size_t SizeFor(int64_t task_cpus) {
     size_t size = 0;
-    while (size + 1 < kSizes && SlotOf(size) < task_cpus) ++size;
+    while (size + 1 < kSizes && SlotCpus(size) < task_cpus) ++size;
     return size;
   }
 
   // Returns the processors of one slot of this size.
-  static int64_t SlotOf(size_t size) {
+  static int64_t SlotCpus(size_t size) {
     return Resources::FromDecimal(static_cast<double>(1 << size));
   }
 
@@ -44,7 +44,7 @@
   // may be negative and then adds nothing.
   void AddMachine(int64_t free_cpus, bool spot) {
     for (size_t size = 0; size < kSizes && free_cpus > 0; ++size) {
-      int64_t cpus = free_cpus / SlotOf(size) * SlotOf(size);
+      int64_t cpus = free_cpus / SlotCpus(size) * SlotCpus(size);
       any[size] += cpus;
       if (!spot) ordinary[size] += cpus;
     }
@@ -77,7 +77,7 @@
     const FreeCapacity& free = partitions_[partition].free;
     size_t size = FreeCapacity::SizeFor(spec.resources.cpus);
     int64_t cpus = spec.spot ? free.any[size] : free.ordinary[size];
-    return std::max<int64_t>(0, cpus / SlotFor(spec));
+    return std::max<int64_t>(0, cpus / CpusPerTask(spec));
   }
 
   // Subtracts the need of this many tasks of the job, until the partition's
@@ -85,20 +85,19 @@
   void Reserve(uint32_t partition, const JobSpec& spec, int64_t tasks) {
     if (partition >= partitions_.size()) return;
     FreeCapacity& free = partitions_[partition].free;
-    for (int64_t& cpus : free.any) cpus -= SlotFor(spec) * tasks;
-    for (int64_t& cpus : free.ordinary) cpus -= SlotFor(spec) * tasks;
+    for (int64_t& cpus : free.any) cpus -= CpusPerTask(spec) * tasks;
+    for (int64_t& cpus : free.ordinary) cpus -= CpusPerTask(spec) * tasks;
   }
 
-  // Returns the partition other than `except` that has capacity for the largest
-  // number of the job's tasks, with that number. Returns `otherwise` and 0 if
-  // no partition has capacity.
-  std::pair<uint32_t, int64_t> MostFreeCapacity(const JobSpec& spec,
-                                                uint32_t otherwise,
-                                                std::optional<uint32_t> except,
-                                                SteadyTime now) const {
-    std::pair<uint32_t, int64_t> best{otherwise, 0};
+  // Returns the partition other than `excluded` that has capacity for the
+  // largest number of the job's tasks, with that number. Returns `fallback` and
+  // 0 if no partition has capacity.
+  std::pair<uint32_t, int64_t> MostFreeCapacity(
+      const JobSpec& spec, uint32_t fallback, std::optional<uint32_t> excluded,
+      SteadyTime now) const {
+    std::pair<uint32_t, int64_t> best{fallback, 0};
     for (uint32_t partition = 0; partition < partitions_.size(); ++partition) {
-      int64_t tasks = partition == except ? 0 : Tasks(partition, spec, now);
+      int64_t tasks = partition == excluded ? 0 : Tasks(partition, spec, now);
       if (tasks > best.second) best = {partition, tasks};
     }
     return best;
@@ -121,10 +120,10 @@
  private:
   // Returns the processors that one task is counted with: a whole slot, or its
   // own need if it is larger than all slots.
-  static int64_t SlotFor(const JobSpec& spec) {
+  static int64_t CpusPerTask(const JobSpec& spec) {
     return std::max(
         spec.resources.cpus,
-        FreeCapacity::SlotOf(FreeCapacity::SizeFor(spec.resources.cpus)));
+        FreeCapacity::SlotCpus(FreeCapacity::SizeFor(spec.resources.cpus)));
   }
 
   // The age at which an announcement is no longer used. Owners announce twice a
--- a/src/core/model/job.cc
+++ b/src/core/model/job.cc
@@ -8,14 +8,14 @@
 namespace {
 
 // Upper bound for the field names, punctuation and numbers of a job record.
-constexpr size_t kRecordNumbers = 520;
+constexpr size_t kFixedRecordBytes = 520;
 // Each run of consecutive chunks with the same owner is written as three
 // numbers of up to 2, 3 and 5 digits, each followed by a comma.
 constexpr size_t kOwnerRunBytes = 13;
 
 // A job record may take up to half of a transaction, because the transaction
 // contains more than the record.
-constexpr size_t kMaxTransactionShare = kTransactionBytes / 2;
+constexpr size_t kMaxJobRecordBytes = kTransactionBytes / 2;
 
 // JSON writes control characters, and may write every character outside ASCII,
 // as an escape sequence of six characters.
@@ -40,19 +40,19 @@
 }
 
 // Returns an upper bound for the text fields of a job record.
-size_t WordBytes(const JobSpec& spec) {
-  size_t words = JsonBytes(spec.id) + JsonBytes(spec.job_class) +
+size_t TextFieldBytes(const JobSpec& spec) {
+  size_t bytes = JsonBytes(spec.id) + JsonBytes(spec.job_class) +
                  JsonBytes(spec.team) + JsonBytes(spec.image) +
                  JsonBytes(spec.zone);
   if (spec.types) {
-    for (const std::string& type : *spec.types) words += JsonBytes(type) + 1;
+    for (const std::string& type : *spec.types) bytes += JsonBytes(type) + 1;
   }
-  return words;
+  return bytes;
 }
 
 // Returns the number of runs of consecutive chunks with the same owner and
 // epoch.
-size_t OwnerRuns(const std::vector<ChunkOwner>& owners) {
+size_t CountOwnerRuns(const std::vector<ChunkOwner>& owners) {
   size_t runs = owners.empty() ? 0 : 1;
   for (size_t i = 1; i < owners.size(); ++i) {
     if (owners[i] != owners[i - 1]) ++runs;
@@ -66,8 +66,8 @@
                                          const Team& team) {
   // The tasks of an array job can run one after another; those of a gang or a
   // service run at the same time.
-  int64_t at_once = spec.shape == Shape::kArray ? 1 : spec.tasks;
-  Resources resources = spec.resources * at_once;
+  int64_t concurrent_tasks = spec.shape == Shape::kArray ? 1 : spec.tasks;
+  Resources resources = spec.resources * concurrent_tasks;
   if (team.cpus_limit > 0 && resources.cpus > team.cpus_limit) {
     return Rejection{
         RejectionReason::kExceedsCpuLimit,
@@ -94,13 +94,13 @@
 }  // namespace
 
 size_t RecordBytes(const JobRecord& record) {
-  return WordBytes(record.spec) + kRecordNumbers +
-         OwnerRuns(record.owners) * kOwnerRunBytes;
+  return TextFieldBytes(record.spec) + kFixedRecordBytes +
+         CountOwnerRuns(record.owners) * kOwnerRunBytes;
 }
 
 size_t MaxRecordBytes(const JobSpec& spec) {
   size_t chunks = std::min<size_t>(spec.tasks, kMaxChunks);
-  return WordBytes(spec) + kRecordNumbers + chunks * kOwnerRunBytes;
+  return TextFieldBytes(spec) + kFixedRecordBytes + chunks * kOwnerRunBytes;
 }
 
 JobRecord FinalRecord(JobRecord record, JobState state, size_t value_bytes) {
@@ -147,7 +147,7 @@
                      "unknown team " + spec.team};
   }
   size_t record_bytes = MaxRecordBytes(spec);
-  if (record_bytes > value_bytes || record_bytes > kMaxTransactionShare) {
+  if (record_bytes > value_bytes || record_bytes > kMaxJobRecordBytes) {
     return Rejection{
         RejectionReason::kDescriptionTooLong,
         "its description is longer than the state service can keep"};
--- a/src/core/model/outbox.h
+++ b/src/core/model/outbox.h
@@ -72,9 +72,11 @@
 
   // Pass a reply to the handler of its call. Replies to unknown calls are
   // ignored.
-  void Handle(const StateReply& reply) { Route(state_handlers_, reply); }
-  void Handle(const CloudReply& reply) { Route(cloud_handlers_, reply); }
-  void Handle(const WorkerReply& reply) { Route(worker_handlers_, reply); }
+  void Handle(const StateReply& reply) { CallHandler(state_handlers_, reply); }
+  void Handle(const CloudReply& reply) { CallHandler(cloud_handlers_, reply); }
+  void Handle(const WorkerReply& reply) {
+    CallHandler(worker_handlers_, reply);
+  }
 
   // Returns the effects added since the last call, in the order of their
   // addition.
@@ -83,7 +85,7 @@
  private:
   // The handler is removed before it is called, because it may make new calls.
   template <typename Map, typename Message>
-  static void Route(Map& handlers, const Message& reply) {
+  static void CallHandler(Map& handlers, const Message& reply) {
     auto node = handlers.extract(reply.call);
     if (!node.empty()) node.mapped()(reply);
   }
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -263,7 +263,7 @@
   ASSERT_TRUE(Send());
   Advance(Seconds(3));
   FreeCapacity free;
-  free.AddMachine(FreeCapacity::SlotOf(2), false);
+  free.AddMachine(FreeCapacity::SlotCpus(2), false);
   LocalStatus status;
   status.usage = {7, 2};
   status.misrouted_workers = {0, 4, 0};
@@ -282,7 +282,7 @@
   EXPECT_EQ(heartbeat->tokens, (std::map<uint32_t, uint64_t>{{1, 77}}));
   EXPECT_EQ(heartbeat->free, (std::map<uint32_t, FreeCapacity>{{1, free}}));
   JobSpec spec;
-  spec.resources.cpus = FreeCapacity::SlotOf(0);
+  spec.resources.cpus = FreeCapacity::SlotCpus(0);
   EXPECT_EQ(context_.capacity_table.Tasks(1, spec, now_.steady), 4);
 }
 
