--- a/src/core/model/job.cc
+++ b/src/core/model/job.cc
@@ -7,18 +7,18 @@
 namespace pitchfall {
 namespace {
 
-// Names of fields, punctuation and numbers of a record.
-constexpr size_t kRecordNumbers = 520;
-// Three numbers for each run of chunks with one owner, of up to 2, 3 and 5
-// digits, each with its comma.
+// Upper bound for the field names, punctuation and numbers of a job record.
+constexpr size_t kFixedRecordBytes = 520;
+// Each run of consecutive chunks with the same owner is written as three
+// numbers of up to 2, 3 and 5 digits, each followed by a comma.
 constexpr size_t kOwnerRunBytes = 13;
 
-// A job's record may take up to half of a transaction, which holds more than
-// the record itself.
-constexpr size_t kMaxTransactionShare = kTransactionBytes / 2;
+// A job record may take up to half of a transaction, because the transaction
+// contains more than the record.
+constexpr size_t kMaxJobRecordBytes = kTransactionBytes / 2;
 
-// JSON writes control characters, and may write all beyond ASCII, as an escape
-// of six characters.
+// JSON writes control characters, and may write every character outside ASCII,
+// as an escape sequence of six characters.
 constexpr unsigned char kFirstPrintable = 0x20;
 constexpr unsigned char kDelete = 0x7f;
 constexpr size_t kUnicodeEscapeBytes = 6;
@@ -31,24 +31,28 @@
   return 1;
 }
 
-// Escaped, in the longest form that the text can take.
+// Returns the length of the longest JSON string that may represent the text,
+// with its quotes.
 size_t JsonBytes(const std::string& text) {
   size_t bytes = kQuotesBytes;
   for (unsigned char c : text) bytes += EscapedBytes(c);
   return bytes;
 }
 
-size_t WordBytes(const JobSpec& spec) {
-  size_t words = JsonBytes(spec.id) + JsonBytes(spec.job_class) +
+// Returns an upper bound for the text fields of a job record.
+size_t TextFieldBytes(const JobSpec& spec) {
+  size_t bytes = JsonBytes(spec.id) + JsonBytes(spec.job_class) +
                  JsonBytes(spec.team) + JsonBytes(spec.image) +
                  JsonBytes(spec.zone);
   if (spec.types) {
-    for (const std::string& type : *spec.types) words += JsonBytes(type) + 1;
+    for (const std::string& type : *spec.types) bytes += JsonBytes(type) + 1;
   }
-  return words;
+  return bytes;
 }
 
-size_t OwnerRuns(const std::vector<ChunkOwner>& owners) {
+// Returns the number of runs of consecutive chunks with the same owner and
+// epoch.
+size_t CountOwnerRuns(const std::vector<ChunkOwner>& owners) {
   size_t runs = owners.empty() ? 0 : 1;
   for (size_t i = 1; i < owners.size(); ++i) {
     if (owners[i] != owners[i - 1]) ++runs;
@@ -56,12 +60,14 @@
   return runs;
 }
 
-// Whether the team's limits leave room for as much as must run at once.
+// Checks that the tasks of the job that must run at the same time stay within
+// the team's limits.
 std::optional<Rejection> CheckTeamLimits(const JobSpec& spec,
                                          const Team& team) {
-  // Tasks of an array can run one after another, others only together.
-  int64_t at_once = spec.shape == Shape::kArray ? 1 : spec.tasks;
-  Resources resources = spec.resources * at_once;
+  // The tasks of an array job can run one after another; those of a gang or a
+  // service run at the same time.
+  int64_t concurrent_tasks = spec.shape == Shape::kArray ? 1 : spec.tasks;
+  Resources resources = spec.resources * concurrent_tasks;
   if (team.cpus_limit > 0 && resources.cpus > team.cpus_limit) {
     return Rejection{
         RejectionReason::kExceedsCpuLimit,
@@ -75,8 +81,8 @@
   return std::nullopt;
 }
 
-// Whether a task fits an empty machine of the type, and the job allows the type
-// and one of the zones in which there is any.
+// Whether the job allows the machine type and one of the zones that offer it,
+// and a task fits into an empty machine of the type.
 bool TaskFitsType(const JobSpec& spec, const MachineType& type) {
   if (!spec.AllowsType(type.name)) return false;
   bool zone_allowed =
@@ -88,19 +94,19 @@
 }  // namespace
 
 size_t RecordBytes(const JobRecord& record) {
-  return WordBytes(record.spec) + kRecordNumbers +
-         OwnerRuns(record.owners) * kOwnerRunBytes;
+  return TextFieldBytes(record.spec) + kFixedRecordBytes +
+         CountOwnerRuns(record.owners) * kOwnerRunBytes;
 }
 
 size_t MaxRecordBytes(const JobSpec& spec) {
   size_t chunks = std::min<size_t>(spec.tasks, kMaxChunks);
-  return WordBytes(spec) + kRecordNumbers + chunks * kOwnerRunBytes;
+  return TextFieldBytes(spec) + kFixedRecordBytes + chunks * kOwnerRunBytes;
 }
 
 JobRecord FinalRecord(JobRecord record, JobState state, size_t value_bytes) {
   record.state = state;
-  // A cancelled job's tasks may still be on machines; the epochs of its chunks
-  // are needed to store their ends.
+  // Tasks of a cancelled job may still be on machines, and the epochs of its
+  // chunks are needed to store that these tasks have ended.
   if (state == JobState::kDone) record.owners.clear();
   if (RecordBytes(record) <= value_bytes) return record;
   record.spec.types.reset();
@@ -141,7 +147,7 @@
                      "unknown team " + spec.team};
   }
   size_t record_bytes = MaxRecordBytes(spec);
-  if (record_bytes > value_bytes || record_bytes > kMaxTransactionShare) {
+  if (record_bytes > value_bytes || record_bytes > kMaxJobRecordBytes) {
     return Rejection{
         RejectionReason::kDescriptionTooLong,
         "its description is longer than the state service can keep"};
