--- a/src/io/clock.cc
+++ b/src/io/clock.cc
@@ -5,6 +5,7 @@
 namespace pitchfall::io {
 namespace {
 
+// In whole microseconds; the rest is cut off.
 Duration Read(clockid_t id) {
   timespec ts{};
   clock_gettime(id, &ts);
--- a/src/io/event.h
+++ b/src/io/event.h
@@ -1,4 +1,5 @@
-// Ownership of libevent's objects.
+// Owning pointers to libevent's objects, and addresses in the form that its
+// functions take.
 #ifndef PITCHFALL_IO_EVENT_H_
 #define PITCHFALL_IO_EVENT_H_
 
@@ -16,6 +17,7 @@
 
 namespace pitchfall::io {
 
+// Frees an object with the libevent function given as template argument.
 template <auto free>
 struct Deleter {
   template <typename T>
@@ -38,14 +40,18 @@
           static_cast<suseconds_t>(d.count() % 1000000)};
 }
 
+// A host, usually an IPv4 address in dotted form, and a TCP port.
 struct Address {
   std::string host;
   uint16_t port = 0;
 };
 
-// "10.0.0.1:8080"; throws std::invalid_argument.
+// Parses an address such as "10.0.0.1:8080"; whether the host is an IPv4
+// address is not checked. Throws std::invalid_argument if the host is empty or
+// the port is not a number from 1 to 65535.
 Address ParseAddress(const std::string& text);
-// Throws std::runtime_error unless the host is an IPv4 address.
+// Converts an address for the socket functions. Throws std::runtime_error
+// unless the host is an IPv4 address.
 sockaddr_in ToSockaddr(const Address& address);
 
 }  // namespace pitchfall::io
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -10,8 +10,8 @@
 
 struct HttpClient::Call {
   HttpClient* client = nullptr;
-  Connection* connection = nullptr;  // once it is on its way
-  evhttp_request* request = nullptr;
+  Connection* connection = nullptr;   // null while the call is queued
+  evhttp_request* request = nullptr;  // null unless it is in flight
   wire::HttpRequest message;
   Handler handler;
   Event timer;
@@ -53,7 +53,7 @@
       max_connections_(max_connections) {}
 
 HttpClient::~HttpClient() {
-  // Frees the requests under way, without calling anybody back.
+  // Frees the requests in flight without calling their handlers.
   for (auto& connection : connections_) {
     if (connection->call != nullptr) {
       evhttp_cancel_request(connection->call->request);
@@ -112,8 +112,8 @@
       evhttp_make_request(connection.http.get(), call->request,
                           call->message.post ? EVHTTP_REQ_POST : EVHTTP_REQ_GET,
                           call->message.path.c_str());
-  // On failure the request has been freed; the timer reports it, so that no
-  // caller is called back before Send has returned.
+  // On failure libevent has freed the request. The failure is reported when the
+  // timer expires, so that no handler is called before Send has returned.
   if (failed != 0) call->request = nullptr;
 }
 
@@ -133,7 +133,8 @@
 
 void HttpClient::OnTimeout(evutil_socket_t, short, void* arg) {
   Call* call = static_cast<Call*>(arg);
-  // Closes the connection: a late answer must not be taken for the next one's.
+  // Cancelling closes the connection, so that a late response is not taken for
+  // the response to the next request.
   if (call->request != nullptr) evhttp_cancel_request(call->request);
   call->client->Finish(call, 0, {});
 }
--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -10,10 +10,14 @@
 namespace pitchfall::io {
 namespace {
 
+// Limits on a request, in bytes.
 constexpr size_t kMaxBody = size_t{64} * 1024;
 constexpr size_t kMaxHeaders = size_t{16} * 1024;
+// A connection without traffic for this long is closed.
 constexpr int kIdleSeconds = 60;
+// How long no connection is accepted after accept() has failed.
 constexpr Duration kAcceptPause = Millis(200);
+// The Retry-After of a request refused because of too many connections.
 constexpr Duration kCrowdedRetry = Millis(2000);
 
 std::string ReadBody(evhttp_request* request) {
@@ -33,13 +37,15 @@
   evhttp_set_max_body_size(server_.get(), kMaxBody);
   evhttp_set_max_headers_size(server_.get(), kMaxHeaders);
   evhttp_set_timeout(server_.get(), kIdleSeconds);
-  // All methods, so that a wrong one is answered with 405 and not 501.
+  // Allows all methods, so that the reply to a wrong one is 405; libevent
+  // itself would send 501.
   evhttp_set_allowed_methods(
       server_.get(), EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
                          EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE |
                          EVHTTP_REQ_OPTIONS | EVHTTP_REQ_PATCH);
   evhttp_set_gencb(server_.get(), OnRequest, this);
-  // All workers may connect at one moment, after a restart.
+  // After a restart all workers may connect at the same moment, so the listen
+  // backlog is as long as the limit on connections.
   sockaddr_in sin = ToSockaddr(address);
   evconnlistener* listener = evconnlistener_new_bind(
       base, nullptr, nullptr,
@@ -58,12 +64,14 @@
 }
 
 HttpServer::~HttpServer() {
+  // Freeing the server closes its connections, which must not call OnClose.
   for (auto& [connection, id] : connections_) {
     evhttp_connection_set_closecb(connection, nullptr, nullptr);
   }
 }
 
-// Out of sockets: accepting would fail again at once and for ever.
+// The process has run out of sockets. Accepting again at once would fail in a
+// busy loop, so the listener pauses.
 void HttpServer::OnAcceptError(evconnlistener* listener, void*) {
   evconnlistener_disable(listener);
   timeval pause = ToTimeval(kAcceptPause);
@@ -116,8 +124,8 @@
     if (expect(EVHTTP_REQ_GET)) sink_(HealthCheck{Hold(request)});
     return;
   }
-  // The sockets left are for calls to the state service, the cloud, workers and
-  // the other controllers.
+  // The remaining sockets are reserved for calls to the state service, the
+  // cloud, workers and the other controllers.
   if (connections_.size() > max_connections_) {
     Send(request, 503,
          wire::EncodeReplyBody(Problem{"too many connections here"}),
@@ -146,7 +154,7 @@
     if (id.find('/') != std::string_view::npos)
       return fail(404, "no such path");
     if (!expect(cancel ? EVHTTP_REQ_POST : EVHTTP_REQ_GET)) return;
-    // An id of another form cannot have been accepted.
+    // An id of another form was never accepted, so no job has it.
     if (!wire::ValidJobId(id)) return fail(404, "no such job");
     if (cancel) {
       sink_(CancelJob{Hold(request), std::string(id)});
@@ -160,7 +168,7 @@
 
 void HttpServer::Answer(const Reply& reply) {
   auto it = waiting_.find(reply.request);
-  if (it == waiting_.end()) return;  // the client has gone
+  if (it == waiting_.end()) return;  // the client has closed the connection
   evhttp_request* request = it->second;
   connections_[evhttp_request_get_connection(request)] = 0;
   waiting_.erase(it);
--- a/src/io/peers.cc
+++ b/src/io/peers.cc
@@ -9,8 +9,9 @@
 namespace pitchfall::io {
 namespace {
 
-// A connection on which this much waits to be sent leads nowhere.
+// A connection with more unsent bytes than this counts as broken.
 constexpr size_t kMaxWaiting = size_t{16} * 1024;
+// When one more connection comes in, the oldest is closed.
 constexpr size_t kMaxIncoming = 64;
 
 }  // namespace
@@ -55,7 +56,8 @@
         peer->broken = true;
         continue;
       }
-      // To notice that the other side has closed.
+      // Peers send nothing on this connection, but only reading shows that they
+      // have closed it.
       bufferevent_enable(peer->connection.get(), EV_READ);
     }
     bufferevent_write(peer->connection.get(), message.data(), message.size());
@@ -71,7 +73,7 @@
 void Peers::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int,
                      void* arg) {
   auto* self = static_cast<Peers*>(arg);
-  // The oldest is the likeliest to be forgotten by its other end.
+  // The peer has most likely abandoned the oldest connection.
   if (self->incoming_.size() >= kMaxIncoming) self->incoming_.pop_front();
   self->incoming_.emplace_back();
   auto it = std::prev(self->incoming_.end());
--- a/src/io/peers.h
+++ b/src/io/peers.h
@@ -1,5 +1,6 @@
-// Connections between controllers. Cap'n Proto's own event loop would be a
-// second one beside libevent's, so only its serialisation is used here.
+// Connections between controllers, which exchange heartbeats. Only the
+// serialisation of Cap'n Proto is used: its RPC would need its own event loop
+// beside that of libevent.
 #ifndef PITCHFALL_IO_PEERS_H_
 #define PITCHFALL_IO_PEERS_H_
 
@@ -14,29 +15,35 @@
 
 namespace pitchfall::io {
 
+// Sends heartbeats to the other controllers over one outgoing connection each,
+// and receives theirs over the connections that they open.
 class Peers {
  public:
+  // Receives each valid heartbeat of a peer.
   using Sink = std::function<void(PeerHeartbeat)>;
 
+  // Listens on `bind`; `peers` are the addresses to send to. `base` must
+  // outlive this object. Throws std::runtime_error if `bind` cannot be bound.
   Peers(event_base* base, const Address& bind,
         const std::vector<Address>& peers, Sink sink);
   ~Peers();
   Peers(const Peers&) = delete;
   Peers& operator=(const Peers&) = delete;
 
-  // To every peer that can be reached now; nothing is kept for the others.
+  // Sends the heartbeat to every peer that can be reached now. For other peers
+  // it is lost: the next heartbeat replaces it.
   void Broadcast(const PeerHeartbeat& heartbeat);
 
  private:
   struct Outgoing {
     Address address;
     BufferEvent connection;
-    bool broken = false;
+    bool broken = false;  // to be opened anew by the next broadcast
   };
   struct Incoming {
     Peers* owner = nullptr;
     BufferEvent connection;
-    std::list<Incoming>::iterator self;
+    std::list<Incoming>::iterator self;  // this entry in `owner->incoming_`
   };
 
   static void OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int,
@@ -49,7 +56,7 @@
   Sink sink_;
   Listener listener_;
   std::vector<std::unique_ptr<Outgoing>> outgoing_;
-  std::list<Incoming> incoming_;
+  std::list<Incoming> incoming_;  // the oldest first
 };
 
 }  // namespace pitchfall::io
--- a/src/io/runtime.cc
+++ b/src/io/runtime.cc
@@ -13,20 +13,23 @@
 namespace pitchfall::io {
 namespace {
 
+// The interval at which the controller runs even if no command arrives.
 constexpr Duration kTick = Millis(25);
 constexpr size_t kStateConnections = 6;
 constexpr size_t kCloudConnections = 4;
-// Of the sockets for connections to workers; those that users and workers open
-// have the rest.
+// Connections to workers may use one of this many sockets. Most of the others
+// are for the connections that users and workers open.
 constexpr size_t kWorkerShare = 8;
 
+// Identifies this process: 64 random bits, which no earlier process has had.
 std::string NewIncarnation() {
   std::random_device random;
   return fmt::format("{:08x}{:08x}", random(), random());
 }
 
-// How many connections of users and workers leave enough sockets for all that
-// this process opens itself, and for files.
+// Returns how many connections of users and workers are allowed, at least 1, so
+// that enough sockets remain for files and for the connections that this
+// process opens or that its peers open to it.
 size_t MaxConnections(const Deployment& deployment) {
   constexpr size_t kFiles = 32;
   size_t own = kFiles + kStateConnections + kCloudConnections +
@@ -68,7 +71,7 @@
 void Runtime::Run() { event_base_dispatch(base_.get()); }
 
 void Runtime::Push(Command command) {
-  // What arrives in one turn of the event loop is one batch.
+  // The commands that arrive in one iteration of the event loop form one batch.
   if (queue_.empty()) event_active(drain_.get(), 0, 0);
   queue_.push_back(std::move(command));
 }
@@ -119,7 +122,8 @@
     std::erase_if(workers_,
                   [](const auto& entry) { return entry.second->idle(); });
   }
-  // What a call would have said goes with the answer to the worker's report.
+  // The call fails at once. The reply to the worker's next heartbeat will carry
+  // the commands instead.
   if (workers_.size() >= max_worker_clients_) {
     answer(0, {});
     return;
--- a/src/io/runtime.h
+++ b/src/io/runtime.h
@@ -1,5 +1,5 @@
-// Ties the core to the outside: one queue of commands, worked off in batches by
-// the one owner of all state, and the effects carried out.
+// Connects the core to the network: it collects commands in a queue, hands them
+// to the controller in batches and carries out the effects that it returns.
 #ifndef PITCHFALL_IO_RUNTIME_H_
 #define PITCHFALL_IO_RUNTIME_H_
 
@@ -16,17 +16,25 @@
 
 namespace pitchfall::io {
 
+// One controller with its sockets, its timer and its event loop. Everything
+// runs on the thread that calls Run.
 class Runtime {
  public:
+  // Throws std::invalid_argument or std::runtime_error if an address is invalid
+  // or cannot be bound.
   Runtime(const Deployment& deployment, const Tuning& tuning);
 
+  // Runs the event loop; in normal operation it does not return.
   void Run();
 
  private:
   static void OnDrain(evutil_socket_t, short, void* arg);
   static void OnTick(evutil_socket_t, short, void* arg);
+  // Adds a command to the next batch.
   void Push(Command command);
+  // Lets the controller handle all queued commands and carries out the effects.
   void Drain();
+  // Each overload carries out one kind of effect.
   void Perform(const Reply& reply) { http_server_.Answer(reply); }
   void Perform(const StateCall& call);
   void Perform(const CloudCall& call);
@@ -43,9 +51,9 @@
   HttpClient state_;
   HttpClient cloud_;
   const size_t max_worker_clients_;
-  std::map<std::string, std::unique_ptr<HttpClient>> workers_;
-  Event drain_;
-  Event tick_;
+  std::map<std::string, std::unique_ptr<HttpClient>> workers_;  // by address
+  Event drain_;  // active while commands are queued
+  Event tick_;   // queues a Tick periodically
   std::vector<Command> queue_;
 };
 
