--- a/src/io/runtime.cc
+++ b/src/io/runtime.cc
@@ -17,8 +17,8 @@
 constexpr Duration kTick = Millis(25);
 constexpr size_t kStateConnections = 6;
 constexpr size_t kCloudConnections = 4;
-// Connections to workers may use one of this many sockets. Most of the others
-// are for the connections that users and workers open.
+// Connections to workers may use 1 / kWorkerShare of the sockets. Most of the
+// others are for the connections that users and workers open.
 constexpr size_t kWorkerShare = 8;
 
 // Identifies this process: 64 random bits, which no earlier process has had.
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -11,12 +11,15 @@
 namespace pitchfall::wire {
 namespace {
 
-// Bounds on what a message's headers may make us allocate. Users and workers
-// are not trusted; the platform's services send long lists.
+// Bounds on the items of a list or map and on the nesting of a message. A few
+// bytes of MessagePack can announce billions of items, and the decoder
+// allocates memory for them. Users and workers are not trusted; the platform's
+// services send long lists.
 constexpr size_t kClientItems = 8192;
 constexpr size_t kServiceItems = 200000;
 constexpr size_t kMaxDepth = 16;
 
+// Upper bounds on numbers and texts in messages; larger ones are refused.
 constexpr double kMaxAmount = 1e6;
 constexpr double kMaxSeconds = 1e9;
 constexpr uint64_t kMaxTasks = 100000;
@@ -24,6 +27,7 @@
 
 constexpr std::string_view kIdStart = "run-";
 
+// An enumerator and its name on the wire.
 template <typename Enum>
 struct Word {
   std::string_view text;
@@ -69,6 +73,7 @@
   return text;
 }
 
+// Splits the id of a task, such as "run-12/3", into its job and its number.
 void ReadTaskId(std::string_view text, std::string& job, uint32_t& task) {
   size_t slash = text.rfind('/');
   if (slash == std::string_view::npos) Fields::Fail("leg", "has no number");
@@ -88,7 +93,8 @@
   return Seconds(in.Amount(key, kMaxSeconds));
 }
 
-// A service runs until it is cancelled: it has no run time and no due time.
+// A service runs until it is cancelled, so it has neither a run time nor a
+// deadline. Throws Malformed if it names one.
 void RequireEndless(const JobSpec& spec) {
   if (spec.estimate != Duration(0)) Fields::Fail("expected_s", "is not 0");
   if (spec.deadline) Fields::Fail("due_s", "is given for a standing job");
@@ -161,6 +167,7 @@
   return heartbeat;
 }
 
+// Decodes a message of a user or worker with `read`, which gets its fields.
 template <typename T, typename Read>
 Decoded<T> DecodeClient(std::string_view body, Read read) {
   try {
@@ -242,6 +249,9 @@
   return out.Take();
 }
 
+// Reads the change of one key. A row without a value is a deletion. A value
+// that this version cannot read, or under a key of no known kind, is marked as
+// unreadable.
 Change ReadChange(const Fields& row, std::string_view key_field) {
   Change change;
   change.key = row.Text(key_field);
@@ -257,6 +267,9 @@
   return change;
 }
 
+// Each overload of ReadInto fills in what the response to one kind of request
+// holds; `reply.status` is already set.
+
 void ReadInto(StateReply& reply, const Transaction&, const Fields& in) {
   reply.revision = reply.status == 200 ? in.Count("ledger") : 0;
   if (in.Find("failed") != nullptr) {
@@ -271,7 +284,7 @@
 void ReadInto(StateReply& reply, const Grant&, const Fields& in) {
   reply.lease = in.CountOr("hold", 0);
 }
-void ReadInto(StateReply&, const Renew&, const Fields&) {}  // says nothing
+void ReadInto(StateReply&, const Renew&, const Fields&) {}  // no content
 void ReadInto(StateReply& reply, const WatchRead&, const Fields& in) {
   reply.revision = in.Count("ledger");
   const auto& list = in.List("log");
@@ -410,7 +423,8 @@
       std::visit([&](const auto& r) { ReadInto(reply, r, in); }, request);
     }
   } catch (const Malformed&) {
-    // An answer that cannot be read is no answer.
+    // A successful response that cannot be read counts as no response: whether
+    // the request took effect is unknown.
     if (status == 200) reply.status = 0;
   }
   return reply;
@@ -456,6 +470,7 @@
       std::visit([&](const auto& r) { ReadInto(reply, r, in); }, request);
     }
   } catch (const Malformed&) {
+    // As in DecodeState.
     if (status == 200) reply.status = 0;
   }
   return reply;
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -1,5 +1,5 @@
-// Helpers over msgpack-cxx: writing maps, and reading values of unknown origin
-// without trusting anything about them.
+// Helpers over msgpack-cxx: writing maps, and reading untrusted values, whose
+// types and sizes are all checked.
 #ifndef PITCHFALL_WIRE_PACK_H_
 #define PITCHFALL_WIRE_PACK_H_
 
@@ -13,6 +13,8 @@
 
 namespace pitchfall::wire {
 
+// Writes MessagePack, piece by piece. The caller must write as many items or
+// pairs as it has announced with List or Map; this is not checked.
 class Packer {
  public:
   Packer() : packer_(buffer_) {}
@@ -44,10 +46,12 @@
     packer_.pack(key);
     return *this;
   }
+  // Appends bytes that are MessagePack already.
   Packer& Raw(std::string_view packed) {
     buffer_.write(packed.data(), packed.size());
     return *this;
   }
+  // Returns a copy of all that has been written.
   std::string Take() const { return {buffer_.data(), buffer_.size()}; }
 
  private:
@@ -55,18 +59,22 @@
   msgpack::packer<msgpack::sbuffer> packer_;
 };
 
-// Says which field of a message is wrong.
+// A message is invalid. The text names the field at fault, if it is one field.
 class Malformed : public std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A map read field by field. Unknown fields are ignored; null counts as absent.
+// Reads a map field by field. Unknown fields are ignored; null counts as
+// absent. All readers throw Malformed if the field has another type or is out
+// of range, and those without a fallback also if it is absent. The object must
+// outlive the reader.
 class Fields {
  public:
   explicit Fields(const msgpack::object& object) : object_(object) {
     if (object.type != msgpack::type::MAP) throw Malformed("not a map");
   }
 
+  // Returns the value of the field, or nullptr if it is absent or null.
   const msgpack::object* Find(std::string_view key) const {
     const auto& map = object_.via.map;
     for (uint32_t i = 0; i < map.size; ++i) {
@@ -105,7 +113,7 @@
     const msgpack::object* found = Find(key);
     return found == nullptr ? fallback : AsCount(*found, key, UINT64_MAX);
   }
-  // A decimal number from 0 to `most`.
+  // Reads a finite number from 0 to `most`, integer or not.
   double Amount(std::string_view key, double most) const {
     return AsAmount(Get(key), key, most);
   }
@@ -119,6 +127,8 @@
     return value.via.array;
   }
 
+  // Convert a value that is not a field itself, such as an item of a list.
+  // `key` is only used in the text of the error.
   static std::string AsText(const msgpack::object& value,
                             std::string_view key) {
     if (value.type != msgpack::type::STR) Fail(key, "is not text");
@@ -159,7 +169,10 @@
   const msgpack::object& object_;
 };
 
-// A whole message, with bounds on what its headers may make us allocate.
+// A whole MessagePack message, decoded. The constructor throws Malformed if the
+// body is not exactly one value, or if a list or map has more than `max_items`
+// items or the nesting is deeper than `max_depth`: lengths announced in the
+// message must not decide how much memory is allocated.
 class Message {
  public:
   Message(std::string_view body, size_t max_items, size_t max_depth) {
--- a/src/wire/peer.cc
+++ b/src/wire/peer.cc
@@ -11,12 +11,15 @@
 namespace pitchfall::wire {
 namespace {
 
+// The largest message that is accepted.
 constexpr size_t kMaxBytes = size_t{64} * 1024;
+// Cap'n Proto measures messages in words of 8 bytes.
 constexpr size_t kWord = sizeof(capnp::word);
 
+// Copies the data to aligned memory; an incomplete word at its end is dropped.
 kj::Array<capnp::word> Aligned(std::string_view data) {
   auto words = kj::heapArray<capnp::word>(data.size() / kWord);
-  // Of an empty buffer the address may be null, which memcpy must not be given.
+  // An empty array may have a null address, which memcpy must not be given.
   if (words.size() > 0) {
     std::memcpy(words.begin(), data.data(), words.size() * kWord);
   }
@@ -28,6 +31,7 @@
 void PutSlots(SlotList::Builder list, const FreeCapacity::Slots& slots) {
   for (unsigned i = 0; i < slots.size(); ++i) list.set(i, slots[i]);
 }
+// Slot sizes that the list lacks keep their value; additional ones are ignored.
 void GetSlots(SlotList::Reader list, FreeCapacity::Slots& slots) {
   unsigned count = std::min<unsigned>(list.size(), slots.size());
   for (unsigned i = 0; i < count; ++i) slots[i] = list[i];
@@ -93,6 +97,7 @@
   try {
     auto words = Aligned(message);
     capnp::ReaderOptions options;
+    // Guards against messages whose pointers refer to the same data repeatedly.
     options.traversalLimitInWords = kMaxBytes / kWord * 4;
     capnp::FlatArrayMessageReader reader(words, options);
     auto root = reader.getRoot<schema::PeerHeartbeat>();
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -1,5 +1,5 @@
-// Records as they lie in the state service. Field names are short: the
-// service's limits are counted in bytes.
+// The stored form of the records. Field names are short because the state
+// service limits the size of a value and of a transaction in bytes.
 #include "wire/records.h"
 
 #include <map>
@@ -78,7 +78,8 @@
   out.Pair("chunk", job.chunk_size).Pair("home", job.home);
   out.Pair("over", job.spread_over).Pair("v", 1);
   out.Pair("shape", static_cast<int>(spec.shape));
-  // Runs of chunks of one owner: how many, partition, epoch.
+  // Consecutive chunks with the same owner are stored as one run of three
+  // numbers: count, partition, epoch.
   size_t runs = 0;
   const auto& owners = job.owners;
   for (size_t i = 0; i < owners.size(); ++i) {
@@ -145,8 +146,9 @@
 
 using Place = std::pair<std::string, std::string>;  // machine, zone
 
-// Tries of one machine and number together, as ranges of tasks. Machines stand
-// by their place in the segment's table.
+// Assignments with the same machine and attempt number form one group, stored
+// as ranges of tasks. A group refers to its machine by index in the segment's
+// `table`.
 void PackEntry(Packer& out, const SegmentRecord::Entry& entry,
                const std::map<Place, uint32_t>& table) {
   const ChunkRecord& record = entry.record;
@@ -183,7 +185,8 @@
   for (const auto& entry : segment.entries) PackEntry(out, entry, table);
 }
 
-// Ranges stand as pairs of first and last task.
+// Reads the ranges from index `from` of the list on. A range is stored as its
+// first and last task, both included.
 TaskSet ReadRanges(const msgpack::object_array& list, uint32_t from,
                    std::string_view key) {
   TaskSet tasks;
@@ -197,6 +200,7 @@
   return tasks;
 }
 
+// Throws Malformed unless the value is a list of at least `least` items.
 const msgpack::object_array& AsList(const msgpack::object& value,
                                     std::string_view key, uint32_t least) {
   if (value.type != msgpack::type::ARRAY || value.via.array.size < least) {
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -1,4 +1,4 @@
-// Records as they lie in the state service.
+// The stored form of the records in the state service.
 #ifndef PITCHFALL_WIRE_RECORDS_H_
 #define PITCHFALL_WIRE_RECORDS_H_
 
@@ -10,10 +10,12 @@
 
 namespace pitchfall::wire {
 
+// Writes the record's value; the key is not part of it.
 void PackRecord(Packer& out, const Record& record);
 
-// The record that belongs under `key`; none if the key is of no known kind.
-// Throws Malformed if the value is not what belongs there.
+// Reads the value of `key` as the kind of record that this key has. Returns
+// none if the key is of no known kind. Throws Malformed if the value is not a
+// valid record of that kind.
 std::optional<Record> ReadRecord(std::string_view key,
                                  const msgpack::object& value);
 
