--- a/src/cli/deployment_file.cc
+++ b/src/cli/deployment_file.cc
@@ -14,9 +14,12 @@
 namespace pitchfall::cli {
 namespace {
 
-// Reads one table; unknown keys are ignored, as the platform may add some.
+// Reads the values of one table and reports errors with the file and the key's
+// full path. Unknown keys are ignored, because the platform may add some. A
+// table that is absent from the file behaves like an empty one.
 class Table {
  public:
+  // `table` is null if the file lacks the table; `path` is empty for the root.
   Table(const toml::table* table, std::string file, std::string path)
       : table_(table), file_(std::move(file)), path_(std::move(path)) {}
 
@@ -51,6 +54,7 @@
     return Has(key) ? Number(key, least, most) : fallback;
   }
 
+  // Returns the value as it stands in the file, once it has been checked.
   std::string HostAndPort(std::string_view key) const {
     std::string text = Text(key);
     try {
@@ -61,6 +65,7 @@
     return text;
   }
 
+  // Empty if the key is absent.
   std::vector<std::string> Texts(std::string_view key) const {
     std::vector<std::string> texts;
     if (!Has(key)) return texts;
@@ -85,6 +90,7 @@
     return table_ != nullptr && table_->contains(key);
   }
 
+  // Returns the tables of an array of tables; empty if the key is absent.
   std::vector<Table> Children(std::string_view key) const {
     std::vector<Table> children;
     if (!Has(key)) return children;
@@ -112,15 +118,19 @@
   std::string path_;
 };
 
+// Upper bound on all numbers without a bound of their own.
 constexpr double kMaxNumber = 1e9;
 
+// Converts an amount of a resource to the millionths that Resources counts.
 int64_t Units(double amount) { return Resources::FromDecimal(amount); }
 
-// The smallest value that holds a job's record with the usual names.
+// The smallest limit on a value's size with which a job record with names of
+// usual length can be stored.
 constexpr double kMinValueKb = 2;
+// Upper bound on the operations of a transaction.
 constexpr double kMaxOps = 1e6;
 
-// Limits that are not announced stay as they are.
+// Reads the announced limits; those that the table lacks stay as they are now.
 Deployment::StateServiceLimits ReadNextLimits(
     const Table& next, const Deployment::StateServiceLimits& present) {
   Deployment::StateServiceLimits limits;
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -17,6 +17,8 @@
 
 constexpr char kVersion[] = "pitchfall 0.1.0";
 
+// Logs to standard error, from the level that LOG_LEVEL names; an unknown level
+// counts as "info".
 void SetUpLogging() {
   auto logger = spdlog::stderr_logger_st("pitchfall");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%eZ %l %v",
@@ -36,7 +38,8 @@
   }
 }
 
-// Reads the command line and runs a controller; returns the exit status.
+// Reads the command line and runs a controller; returns the exit status. Errors
+// of the settings or the sockets are thrown.
 int Run(int argc, char** argv) {
   CLI::App app{
       "pitchfall: a cluster scheduler. Runs one controller until it is "
@@ -60,7 +63,8 @@
     return EXIT_SUCCESS;
   }
   SetUpLogging();
-  // A peer that goes away in the middle of a write is an ordinary event.
+  // A connection that the other side closes during a write must not end the
+  // process; the write reports the error.
   std::signal(SIGPIPE, SIG_IGN);
   pitchfall::io::Runtime runtime(deployment, tuning);
   runtime.Run();
--- a/src/cli/tuning_file.cc
+++ b/src/cli/tuning_file.cc
@@ -18,6 +18,8 @@
 namespace pitchfall::cli {
 namespace {
 
+// A setting with its name in the file, the range of its number and the field of
+// Tuning that it sets.
 struct Setting {
   std::string_view name;
   double least;
@@ -61,13 +63,14 @@
       setting.field);
 }
 
-// The library does not say where an expression stands, so each top-level one is
-// cut out first and handed over by itself.
+// A top-level expression. sfsexp does not report positions, so each expression
+// is cut out of the file and parsed by itself.
 struct Form {
-  std::string text;
-  int line = 1;
+  std::string text;  // line breaks replaced by spaces
+  int line = 1;      // where the expression starts
 };
 
+// Cuts the file into its top-level expressions and drops the comments.
 std::vector<Form> Split(const std::string& text, const std::string& file) {
   std::vector<Form> forms;
   int line = 1;
--- a/src/cli/tuning_file.h
+++ b/src/cli/tuning_file.h
@@ -1,5 +1,5 @@
-// The operators' own settings (S-expressions). Every setting is optional;
-// docs/operations.md lists them.
+// Reads the operators' settings file (S-expressions such as `(parts 3)`). Every
+// setting is optional; docs/operations.md lists them.
 #ifndef PITCHFALL_CLI_TUNING_FILE_H_
 #define PITCHFALL_CLI_TUNING_FILE_H_
 
@@ -9,7 +9,8 @@
 
 namespace pitchfall::cli {
 
-// Both throw SettingsError.
+// Both throw SettingsError. `file` is the path of the file; ParseTuning uses it
+// only in error messages.
 Tuning LoadTuning(const std::string& file);
 Tuning ParseTuning(const std::string& text, const std::string& file);
 
