--- a/src/cli/deployment_file.cc
+++ b/src/cli/deployment_file.cc
@@ -30,7 +30,7 @@
 
   std::string Text(std::string_view key) const {
     const toml::node* node = Need(key);
-    if (!node->is_string()) Fail(key, "must be text");
+    if (!node->is_string()) Fail(key, "must be a string");
     std::string text = node->as_string()->get();
     if (text.empty()) Fail(key, "must not be empty");
     return text;
@@ -70,9 +70,9 @@
     std::vector<std::string> texts;
     if (!Has(key)) return texts;
     const toml::array* array = table_->get(key)->as_array();
-    if (array == nullptr) Fail(key, "must be a list of texts");
+    if (array == nullptr) Fail(key, "must be a list of strings");
     for (const toml::node& node : *array) {
-      if (!node.is_string()) Fail(key, "must be a list of texts");
+      if (!node.is_string()) Fail(key, "must be a list of strings");
       texts.push_back(node.as_string()->get());
     }
     return texts;
@@ -153,7 +153,7 @@
   for (const Table& peer : root.Children("known")) {
     d.peers.push_back({peer.Text("label"), peer.HostAndPort("address")});
     if (d.peers.back().label == d.label) {
-      peer.Fail("label", "is this controller's own");
+      peer.Fail("label", "must not be this controller's own label");
     }
   }
   Table services = root.Child("services");
@@ -172,7 +172,7 @@
     team.gpus_guaranteed = Units(row.NumberOr("gpus", 0, kMaxNumber, 0));
     team.gpus_limit = Units(row.NumberOr("gpus_max", 0, kMaxNumber, 0));
     if (!d.teams.emplace(team.name, team).second) {
-      row.Fail("name", "stands twice");
+      row.Fail("name", "must be unique: another team has the same name");
     }
   }
   for (const Table& row : cluster.Children("objectives")) {
@@ -222,7 +222,9 @@
 
 Deployment LoadDeployment(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw SettingsError(fmt::format("{}: cannot be read", file));
+  if (!in)
+    throw SettingsError(fmt::format(
+        "{}: cannot be opened: check that it exists and is readable", file));
   std::ostringstream text;
   text << in.rdbuf();
   return ParseDeployment(text.str(), file);
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -47,11 +47,12 @@
   std::string config;
   std::string settings;
   bool check = false;
-  app.add_option("--config", config, "the platform's settings (TOML)")
+  app.add_option("--config", config,
+                 "deployment file provided by the platform (TOML)")
       ->required();
   app.add_option("--settings", settings,
-                 "the operators' own settings (S-expressions)");
-  app.add_flag("--check", check, "check both files and exit");
+                 "settings file of the operators (S-expressions)");
+  app.add_flag("--check", check, "validate the settings files and exit");
   app.set_version_flag("--version", kVersion);
   CLI11_PARSE(app, argc, argv);
 
--- a/src/cli/tuning_file.cc
+++ b/src/cli/tuning_file.cc
@@ -147,7 +147,9 @@
 
 Tuning LoadTuning(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw SettingsError(fmt::format("{}: cannot be read", file));
+  if (!in)
+    throw SettingsError(fmt::format(
+        "{}: cannot be opened: check that it exists and is readable", file));
   std::ostringstream text;
   text << in.rdbuf();
   return ParseTuning(text.str(), file);
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -20,7 +20,7 @@
 Address ParseAddress(const std::string& text) {
   size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0) {
-    throw std::invalid_argument("'" + text + "' is not HOST:PORT");
+    throw std::invalid_argument("'" + text + "' lacks a host or a port");
   }
   size_t used = 0;
   int port = 0;
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -76,11 +76,11 @@
 // Splits the id of a task, such as "run-12/3", into its job and its number.
 void ReadTaskId(std::string_view text, std::string& job, uint32_t& task) {
   size_t slash = text.rfind('/');
-  if (slash == std::string_view::npos) Fields::Fail("leg", "has no number");
+  if (slash == std::string_view::npos) Fields::Fail("leg", "is not JOB/NUMBER");
   const char* end = text.data() + text.size();
   auto parsed = std::from_chars(text.data() + slash + 1, end, task);
   if (parsed.ec != std::errc() || parsed.ptr != end) {
-    Fields::Fail("leg", "has no number");
+    Fields::Fail("leg", "is not JOB/NUMBER");
   }
   job = text.substr(0, slash);
 }
@@ -103,7 +103,8 @@
 JobSpec ReadSubmission(const Fields& in) {
   JobSpec spec;
   spec.id = in.Text("uid");
-  if (!ValidJobId(spec.id)) Fields::Fail("uid", "has the wrong form");
+  if (!ValidJobId(spec.id))
+    Fields::Fail("uid", "is not \"run-\" followed by 1 to 20 digits");
   spec.job_class = ReadName(in, "lane");
   spec.team = ReadName(in, "crew");
   spec.shape = ReadWord(in, "shape", kShapes);
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -100,7 +100,7 @@
   }
   bool Flag(std::string_view key) const {
     const msgpack::object& value = Get(key);
-    if (value.type != msgpack::type::BOOLEAN) Fail(key, "is not true or false");
+    if (value.type != msgpack::type::BOOLEAN) Fail(key, "is not a boolean");
     return value.via.boolean;
   }
   bool FlagOr(std::string_view key, bool fallback) const {
@@ -131,13 +131,13 @@
   // `key` is only used in the text of the error.
   static std::string AsText(const msgpack::object& value,
                             std::string_view key) {
-    if (value.type != msgpack::type::STR) Fail(key, "is not text");
+    if (value.type != msgpack::type::STR) Fail(key, "is not a string");
     return {value.via.str.ptr, value.via.str.size};
   }
   static uint64_t AsCount(const msgpack::object& value, std::string_view key,
                           uint64_t most) {
     if (value.type != msgpack::type::POSITIVE_INTEGER) {
-      Fail(key, "is not a count");
+      Fail(key, "is not a non-negative integer");
     }
     if (value.via.u64 > most) Fail(key, "is too large");
     return value.via.u64;
@@ -154,7 +154,7 @@
         number = value.via.f64;
         break;
       default:
-        Fail(key, "is not a number from 0 on");
+        Fail(key, "is not a non-negative number");
     }
     if (!std::isfinite(number) || number < 0 || number > most) {
       Fail(key, "is out of range");
@@ -182,11 +182,13 @@
           msgpack::unpack(body.data(), body.size(), used, nullptr, nullptr,
                           msgpack::unpack_limit(max_items, max_items,
                                                 body.size(), 0, 0, max_depth));
-      if (used != body.size()) throw Malformed("more than one value");
+      if (used != body.size())
+        throw Malformed("data after the end of the message");
     } catch (const Malformed&) {
       throw;
     } catch (const std::exception&) {
-      throw Malformed("not MessagePack within bounds");
+      throw Malformed(
+          "not valid MessagePack, or too many or too deeply nested items");
     }
   }
   const msgpack::object& root() const { return handle_.get(); }
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -22,12 +22,12 @@
     return static_cast<int64_t>(value.via.u64);
   }
   if (value.type == msgpack::type::NEGATIVE_INTEGER) return value.via.i64;
-  Fields::Fail(key, "is not a whole number");
+  Fields::Fail(key, "is not an integer");
 }
 
 Resources ReadResources(const Fields& in, std::string_view key) {
   const auto& list = in.List(key);
-  if (list.size != 3) Fields::Fail(key, "is not three numbers");
+  if (list.size != 3) Fields::Fail(key, "is not a list of three numbers");
   return {AsInteger(list.ptr[0], key), AsInteger(list.ptr[1], key),
           AsInteger(list.ptr[2], key)};
 }
@@ -122,7 +122,7 @@
   job.home = static_cast<uint32_t>(in.Count("home", UINT32_MAX));
   job.spread_over = static_cast<uint32_t>(in.Count("over", UINT32_MAX));
   const auto& runs = in.List("owners");
-  if (runs.size % 3 != 0) Fields::Fail("owners", "is not in threes");
+  if (runs.size % 3 != 0) Fields::Fail("owners", "is not a list of triples");
   for (uint32_t i = 0; i < runs.size; i += 3) {
     uint64_t count = Fields::AsCount(runs.ptr[i], "owners", kMaxChunks);
     ChunkOwner owner;
@@ -190,7 +190,8 @@
 TaskSet ReadRanges(const msgpack::object_array& list, uint32_t from,
                    std::string_view key) {
   TaskSet tasks;
-  if ((list.size - from) % 2 != 0) Fields::Fail(key, "has half a range");
+  if ((list.size - from) % 2 != 0)
+    Fields::Fail(key, "has a range without an end");
   for (uint32_t i = from; i + 1 < list.size; i += 2) {
     auto first = Fields::AsCount(list.ptr[i], key, UINT32_MAX - 1);
     auto last = Fields::AsCount(list.ptr[i + 1], key, UINT32_MAX - 1);
@@ -204,7 +205,7 @@
 const msgpack::object_array& AsList(const msgpack::object& value,
                                     std::string_view key, uint32_t least) {
   if (value.type != msgpack::type::ARRAY || value.via.array.size < least) {
-    Fields::Fail(key, "is not a long enough list");
+    Fields::Fail(key, "is not a list or has too few items");
   }
   return value.via.array;
 }
@@ -228,11 +229,12 @@
   for (uint32_t i = 0; i < groups.size; ++i) {
     const auto& group = AsList(groups.ptr[i], kKey, 2);
     uint64_t place = AsNumber(group.ptr[0], kKey);
-    if (place >= table.size()) Fields::Fail(kKey, "names no machine");
+    if (place >= table.size())
+      Fields::Fail(kKey, "refers to a machine that is not in the table");
     uint32_t attempt = AsNumber(group.ptr[1], kKey);
     TaskSet tasks = ReadRanges(group, 2, kKey);
     if (record.assigned.size() + boost::icl::cardinality(tasks) > kMaxInChunk) {
-      Fields::Fail(kKey, "binds too many tasks");
+      Fields::Fail(kKey, "assigns too many tasks");
     }
     for (const auto& range : tasks) {
       for (uint32_t t = boost::icl::first(range); t <= boost::icl::last(range);
@@ -247,7 +249,7 @@
 
 SegmentRecord ReadSegment(const Fields& in) {
   const auto& places = in.List("on");
-  if (places.size % 2 != 0) Fields::Fail("on", "has half a machine");
+  if (places.size % 2 != 0) Fields::Fail("on", "has a machine without a zone");
   std::vector<Place> table;
   for (uint32_t i = 0; i < places.size; i += 2) {
     table.push_back({Fields::AsText(places.ptr[i], "on"),
