--- a/src/cli/deployment_file.cc
+++ b/src/cli/deployment_file.cc
@@ -29,7 +29,7 @@
   }
 
   std::string Text(std::string_view key) const {
-    const toml::node* node = Need(key);
+    const toml::node* node = Require(key);
     if (!node->is_string()) Fail(key, "must be a string");
     std::string text = node->as_string()->get();
     if (text.empty()) Fail(key, "must not be empty");
@@ -40,18 +40,18 @@
     return Has(key) ? Text(key) : std::move(fallback);
   }
 
-  double Number(std::string_view key, double least, double most) const {
-    const toml::node* node = Need(key);
+  double Number(std::string_view key, double min, double max) const {
+    const toml::node* node = Require(key);
     if (!node->is_number()) Fail(key, "must be a number");
     double value = *node->value<double>();
-    if (!std::isfinite(value) || value < least || value > most) {
-      Fail(key, fmt::format("must be from {} to {}", least, most));
+    if (!std::isfinite(value) || value < min || value > max) {
+      Fail(key, fmt::format("must be from {} to {}", min, max));
     }
     return value;
   }
-  double NumberOr(std::string_view key, double least, double most,
+  double NumberOr(std::string_view key, double min, double max,
                   double fallback) const {
-    return Has(key) ? Number(key, least, most) : fallback;
+    return Has(key) ? Number(key, min, max) : fallback;
   }
 
   // Returns the value as it stands in the file, once it has been checked.
@@ -66,7 +66,7 @@
   }
 
   // Empty if the key is absent.
-  std::vector<std::string> Texts(std::string_view key) const {
+  std::vector<std::string> TextList(std::string_view key) const {
     std::vector<std::string> texts;
     if (!Has(key)) return texts;
     const toml::array* array = table_->get(key)->as_array();
@@ -105,7 +105,7 @@
   }
 
  private:
-  const toml::node* Need(std::string_view key) const {
+  const toml::node* Require(std::string_view key) const {
     if (!Has(key)) Fail(key, "is missing");
     return table_->get(key);
   }
@@ -122,7 +122,7 @@
 constexpr double kMaxNumber = 1e9;
 
 // Converts an amount of a resource to the millionths that Resources counts.
-int64_t Units(double amount) { return Resources::FromDecimal(amount); }
+int64_t ToMillionths(double amount) { return Resources::FromDecimal(amount); }
 
 // The smallest limit on a value's size with which a job record with names of
 // usual length can be stored.
@@ -144,7 +144,7 @@
   return limits;
 }
 
-Deployment Read(const Table& root) {
+Deployment ReadDeployment(const Table& root) {
   Deployment d;
   d.label = root.Text("label");
   d.zone = root.Text("site");
@@ -161,16 +161,16 @@
   d.state_address = services.HostAndPort("state");
 
   Table cluster = root.Child("cluster");
-  d.zones = cluster.Texts("zones");
+  d.zones = cluster.TextList("zones");
   d.time_bound =
       Seconds(cluster.NumberOr("time_bound_ms", 0, kMaxNumber, 0) / 1e3);
   for (const Table& row : cluster.Children("teams")) {
     Team team;
     team.name = row.Text("name");
-    team.cpus_guaranteed = Units(row.NumberOr("cpus", 0, kMaxNumber, 0));
-    team.cpus_limit = Units(row.NumberOr("cpus_max", 0, kMaxNumber, 0));
-    team.gpus_guaranteed = Units(row.NumberOr("gpus", 0, kMaxNumber, 0));
-    team.gpus_limit = Units(row.NumberOr("gpus_max", 0, kMaxNumber, 0));
+    team.cpus_guaranteed = ToMillionths(row.NumberOr("cpus", 0, kMaxNumber, 0));
+    team.cpus_limit = ToMillionths(row.NumberOr("cpus_max", 0, kMaxNumber, 0));
+    team.gpus_guaranteed = ToMillionths(row.NumberOr("gpus", 0, kMaxNumber, 0));
+    team.gpus_limit = ToMillionths(row.NumberOr("gpus_max", 0, kMaxNumber, 0));
     if (!d.teams.emplace(team.name, team).second) {
       row.Fail("name", "must be unique: another team has the same name");
     }
@@ -213,7 +213,7 @@
 Deployment ParseDeployment(const std::string& text, const std::string& file) {
   try {
     toml::table root = toml::parse(text, file);
-    return Read(Table(&root, file, ""));
+    return ReadDeployment(Table(&root, file, ""));
   } catch (const toml::parse_error& problem) {
     throw SettingsError(fmt::format(
         "{}:{}: {}", file, problem.source().begin.line, problem.description()));
--- a/src/cli/tuning_file.cc
+++ b/src/cli/tuning_file.cc
@@ -22,8 +22,8 @@
 // Tuning that it sets.
 struct Setting {
   std::string_view name;
-  double least;
-  double most;
+  double min;
+  double max;
   std::variant<Duration Tuning::*, uint32_t Tuning::*, double Tuning::*> field;
 };
 
@@ -65,14 +65,15 @@
 
 // A top-level expression. sfsexp does not report positions, so each expression
 // is cut out of the file and parsed by itself.
-struct Form {
+struct Expression {
   std::string text;  // line breaks replaced by spaces
   int line = 1;      // where the expression starts
 };
 
 // Cuts the file into its top-level expressions and drops the comments.
-std::vector<Form> Split(const std::string& text, const std::string& file) {
-  std::vector<Form> forms;
+std::vector<Expression> SplitExpressions(const std::string& text,
+                                         const std::string& file) {
+  std::vector<Expression> expressions;
   int line = 1;
   int depth = 0;
   bool comment = false;
@@ -84,10 +85,10 @@
     if (c == ';') comment = true;
     if (comment) continue;
     if (c == '(') {
-      if (depth++ == 0) forms.push_back({"", line});
+      if (depth++ == 0) expressions.push_back({"", line});
     }
     if (depth > 0) {
-      forms.back().text += c == '\n' ? ' ' : c;
+      expressions.back().text += c == '\n' ? ' ' : c;
     } else if (!std::isspace(static_cast<unsigned char>(c))) {
       throw SettingsError(fmt::format(
           "{}:{}: expected a setting in parentheses, such as (parts 3)", file,
@@ -98,21 +99,22 @@
   if (depth > 0) {
     throw SettingsError(
         fmt::format("{}:{}: the parenthesis opened here is not closed", file,
-                    forms.back().line));
+                    expressions.back().line));
   }
-  return forms;
+  return expressions;
 }
 
 }  // namespace
 
 Tuning ParseTuning(const std::string& text, const std::string& file) {
   Tuning tuning;
-  for (Form& form : Split(text, file)) {
+  for (Expression& expression : SplitExpressions(text, file)) {
     auto fail = [&](const std::string& what) {
-      throw SettingsError(fmt::format("{}:{}: {}", file, form.line, what));
+      throw SettingsError(
+          fmt::format("{}:{}: {}", file, expression.line, what));
     };
     std::unique_ptr<sexp_t, FreeSexp> sexp(
-        parse_sexp(form.text.data(), form.text.size()));
+        parse_sexp(expression.text.data(), expression.text.size()));
     if (!sexp || sexp->ty != SEXP_LIST || sexp->list == nullptr ||
         sexp->list->ty != SEXP_VALUE) {
       fail("not a setting: expected (NAME NUMBER)");
@@ -136,9 +138,9 @@
         parsed.ptr != digits.data() + digits.size() || !std::isfinite(number)) {
       fail(fmt::format("{}: '{}' is not a number", name, digits));
     }
-    if (number < setting->least || number > setting->most) {
-      fail(fmt::format("{} must be from {} to {}", name, setting->least,
-                       setting->most));
+    if (number < setting->min || number > setting->max) {
+      fail(fmt::format("{} must be from {} to {}", name, setting->min,
+                       setting->max));
     }
     Apply(tuning, *setting, number);
   }
--- a/src/io/http_server.cc
+++ b/src/io/http_server.cc
@@ -11,14 +11,14 @@
 namespace {
 
 // Limits on a request, in bytes.
-constexpr size_t kMaxBody = size_t{64} * 1024;
-constexpr size_t kMaxHeaders = size_t{16} * 1024;
+constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
+constexpr size_t kMaxHeaderBytes = size_t{16} * 1024;
 // A connection without traffic for this long is closed.
-constexpr int kIdleSeconds = 60;
+constexpr int kIdleTimeoutSeconds = 60;
 // How long no connection is accepted after accept() has failed.
 constexpr Duration kAcceptPause = Millis(200);
 // The Retry-After of a request refused because of too many connections.
-constexpr Duration kCrowdedRetry = Millis(2000);
+constexpr Duration kTooManyConnectionsRetryAfter = Millis(2000);
 
 std::string ReadBody(evhttp_request* request) {
   evbuffer* input = evhttp_request_get_input_buffer(request);
@@ -30,13 +30,13 @@
 }  // namespace
 
 HttpServer::HttpServer(event_base* base, const Address& address,
-                       size_t max_connections, Sink sink)
-    : sink_(std::move(sink)),
+                       size_t max_connections, CommandHandler on_command)
+    : on_command_(std::move(on_command)),
       server_(evhttp_new(base)),
       max_connections_(max_connections) {
-  evhttp_set_max_body_size(server_.get(), kMaxBody);
-  evhttp_set_max_headers_size(server_.get(), kMaxHeaders);
-  evhttp_set_timeout(server_.get(), kIdleSeconds);
+  evhttp_set_max_body_size(server_.get(), kMaxBodyBytes);
+  evhttp_set_max_headers_size(server_.get(), kMaxHeaderBytes);
+  evhttp_set_timeout(server_.get(), kIdleTimeoutSeconds);
   // Allows all methods, so that the reply to a wrong one is 405; libevent
   // itself would send 501.
   evhttp_set_allowed_methods(
@@ -91,14 +91,14 @@
   auto* self = static_cast<HttpServer*>(arg);
   auto found = self->connections_.find(connection);
   if (found == self->connections_.end()) return;
-  self->waiting_.erase(found->second);
+  self->pending_requests_.erase(found->second);
   self->connections_.erase(found);
 }
 
-RequestId HttpServer::Hold(evhttp_request* request) {
+RequestId HttpServer::AddPending(evhttp_request* request) {
   RequestId id = ++last_id_;
   connections_[evhttp_request_get_connection(request)] = id;
-  waiting_.emplace(id, request);
+  pending_requests_.emplace(id, request);
   return id;
 }
 
@@ -108,7 +108,7 @@
   std::string_view path = raw_path == nullptr ? "" : raw_path;
   evhttp_cmd_type method = evhttp_request_get_command(request);
   auto fail = [&](int status, const std::string& why) {
-    Send(request, status, wire::EncodeReplyBody(Problem{why}), {}, false);
+    WriteReply(request, status, wire::EncodeReplyBody(Problem{why}), {}, false);
   };
   auto expect = [&](evhttp_cmd_type wanted) {
     if (method == wanted) return true;
@@ -121,64 +121,66 @@
     evhttp_connection_set_closecb(connection, OnClose, this);
   }
   if (path == wire::kHealthPath) {
-    if (expect(EVHTTP_REQ_GET)) sink_(HealthCheck{Hold(request)});
+    if (expect(EVHTTP_REQ_GET)) on_command_(HealthCheck{AddPending(request)});
     return;
   }
   // The remaining sockets are reserved for calls to the state service, the
   // cloud, workers and the other controllers.
   if (connections_.size() > max_connections_) {
-    Send(request, 503,
-         wire::EncodeReplyBody(Problem{"too many connections here"}),
-         kCrowdedRetry, true);
+    WriteReply(request, 503,
+               wire::EncodeReplyBody(Problem{"too many connections here"}),
+               kTooManyConnectionsRetryAfter, true);
     return;
   }
   if (path == wire::kHeartbeatPath) {
     if (!expect(EVHTTP_REQ_POST)) return;
     auto heartbeat = wire::DecodeWorkerHeartbeat(ReadBody(request));
     if (!heartbeat.value) return fail(400, heartbeat.error);
-    sink_(ReceiveWorkerHeartbeat{Hold(request), std::move(*heartbeat.value)});
+    on_command_(ReceiveWorkerHeartbeat{AddPending(request),
+                                       std::move(*heartbeat.value)});
     return;
   }
   if (path == wire::kJobsPath) {
     if (!expect(EVHTTP_REQ_POST)) return;
     auto spec = wire::DecodeSubmission(ReadBody(request));
     if (!spec.value) return fail(400, spec.error);
-    sink_(SubmitJob{Hold(request), std::move(*spec.value)});
+    on_command_(SubmitJob{AddPending(request), std::move(*spec.value)});
     return;
   }
   std::string jobs = std::string(wire::kJobsPath) + "/";
   if (path.starts_with(jobs)) {
     std::string_view id = path.substr(jobs.size());
-    bool cancel = id.ends_with(wire::kCancelEnd);
-    if (cancel) id.remove_suffix(sizeof(wire::kCancelEnd) - 1);
+    bool cancel = id.ends_with(wire::kCancelSuffix);
+    if (cancel) id.remove_suffix(sizeof(wire::kCancelSuffix) - 1);
     if (id.find('/') != std::string_view::npos)
       return fail(404, "no such path");
     if (!expect(cancel ? EVHTTP_REQ_POST : EVHTTP_REQ_GET)) return;
     // An id of another form was never accepted, so no job has it.
     if (!wire::ValidJobId(id)) return fail(404, "no such job");
     if (cancel) {
-      sink_(CancelJob{Hold(request), std::string(id)});
+      on_command_(CancelJob{AddPending(request), std::string(id)});
     } else {
-      sink_(PollJob{Hold(request), std::string(id)});
+      on_command_(PollJob{AddPending(request), std::string(id)});
     }
     return;
   }
   fail(404, "no such path");
 }
 
-void HttpServer::Answer(const Reply& reply) {
-  auto it = waiting_.find(reply.request);
-  if (it == waiting_.end()) return;  // the client has closed the connection
+void HttpServer::SendReply(const Reply& reply) {
+  auto it = pending_requests_.find(reply.request);
+  if (it == pending_requests_.end())
+    return;  // the client has closed the connection
   evhttp_request* request = it->second;
   connections_[evhttp_request_get_connection(request)] = 0;
-  waiting_.erase(it);
-  Send(request, reply.status, wire::EncodeReplyBody(reply.body),
-       reply.retry_after, reply.close);
+  pending_requests_.erase(it);
+  WriteReply(request, reply.status, wire::EncodeReplyBody(reply.body),
+             reply.retry_after, reply.close);
 }
 
-void HttpServer::Send(evhttp_request* request, int status,
-                      const std::string& body,
-                      std::optional<Duration> retry_after, bool close) {
+void HttpServer::WriteReply(evhttp_request* request, int status,
+                            const std::string& body,
+                            std::optional<Duration> retry_after, bool close) {
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
   evhttp_add_header(headers, "Content-Type", "application/msgpack");
   if (retry_after) {
--- a/src/io/http_server.h
+++ b/src/io/http_server.h
@@ -17,21 +17,21 @@
 class HttpServer {
  public:
   // Receives the command that a request carries. Its `request` identifies the
-  // request in the later call of Answer.
-  using Sink = std::function<void(Command)>;
+  // request in the later call of SendReply.
+  using CommandHandler = std::function<void(Command)>;
 
   // Listens on `address`. Above `max_connections` open connections, requests
   // other than health checks are refused with 503. `base` must outlive the
   // server. Throws std::runtime_error if the address cannot be bound.
   HttpServer(event_base* base, const Address& address, size_t max_connections,
-             Sink sink);
+             CommandHandler on_command);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
   // Sends the reply to the request that it names. Does nothing if the client
   // has closed the connection.
-  void Answer(const Reply& reply);
+  void SendReply(const Reply& reply);
 
  private:
   static void OnRequest(evhttp_request* request, void* arg);
@@ -39,19 +39,20 @@
   static void OnAcceptError(evconnlistener* listener, void* arg);
   // Refuses the request or passes its command on.
   void Route(evhttp_request* request);
-  // Keeps the request until Answer is called with the id returned here.
-  RequestId Hold(evhttp_request* request);
-  static void Send(evhttp_request* request, int status, const std::string& body,
-                   std::optional<Duration> retry_after, bool close);
+  // Keeps the request until SendReply is called with the id returned here.
+  RequestId AddPending(evhttp_request* request);
+  static void WriteReply(evhttp_request* request, int status,
+                         const std::string& body,
+                         std::optional<Duration> retry_after, bool close);
 
-  Sink sink_;
+  CommandHandler on_command_;
   EvhttpHandle server_;
   const size_t max_connections_;
   RequestId last_id_ = 0;
   // The open connections that have sent a request, each with the id of the
   // request that waits for its reply; 0: none does.
   std::unordered_map<evhttp_connection*, RequestId> connections_;
-  std::unordered_map<RequestId, evhttp_request*> waiting_;
+  std::unordered_map<RequestId, evhttp_request*> pending_requests_;
 };
 
 }  // namespace pitchfall::io
--- a/src/io/peers.cc
+++ b/src/io/peers.cc
@@ -10,15 +10,16 @@
 namespace {
 
 // A connection with more unsent bytes than this counts as broken.
-constexpr size_t kMaxWaiting = size_t{16} * 1024;
+constexpr size_t kMaxUnsentBytes = size_t{16} * 1024;
 // When one more connection comes in, the oldest is closed.
-constexpr size_t kMaxIncoming = 64;
+constexpr size_t kMaxIncomingConnections = 64;
 
 }  // namespace
 
-Peers::Peers(event_base* base, const Address& bind,
-             const std::vector<Address>& peers, Sink sink)
-    : base_(base), sink_(std::move(sink)) {
+PeerConnections::PeerConnections(event_base* base, const Address& bind,
+                                 const std::vector<Address>& peers,
+                                 HeartbeatHandler on_heartbeat)
+    : base_(base), on_heartbeat_(std::move(on_heartbeat)) {
   sockaddr_in sin = ToSockaddr(bind);
   listener_.reset(evconnlistener_new_bind(
       base, OnAccept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 16,
@@ -33,14 +34,14 @@
   }
 }
 
-Peers::~Peers() = default;
+PeerConnections::~PeerConnections() = default;
 
-void Peers::Broadcast(const PeerHeartbeat& heartbeat) {
+void PeerConnections::Broadcast(const PeerHeartbeat& heartbeat) {
   std::string message = wire::EncodePeerHeartbeat(heartbeat);
   for (auto& peer : outgoing_) {
     if (peer->connection &&
         (peer->broken || evbuffer_get_length(bufferevent_get_output(
-                             peer->connection.get())) > kMaxWaiting)) {
+                             peer->connection.get())) > kMaxUnsentBytes)) {
       peer->connection.reset();
       peer->broken = false;
     }
@@ -64,17 +65,18 @@
   }
 }
 
-void Peers::OnOutgoingEvent(bufferevent*, short what, void* arg) {
+void PeerConnections::OnOutgoingEvent(bufferevent*, short what, void* arg) {
   if (what & (BEV_EVENT_ERROR | BEV_EVENT_EOF | BEV_EVENT_TIMEOUT)) {
     static_cast<Outgoing*>(arg)->broken = true;
   }
 }
 
-void Peers::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int,
-                     void* arg) {
-  auto* self = static_cast<Peers*>(arg);
+void PeerConnections::OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*,
+                               int, void* arg) {
+  auto* self = static_cast<PeerConnections*>(arg);
   // The peer has most likely abandoned the oldest connection.
-  if (self->incoming_.size() >= kMaxIncoming) self->incoming_.pop_front();
+  if (self->incoming_.size() >= kMaxIncomingConnections)
+    self->incoming_.pop_front();
   self->incoming_.emplace_back();
   auto it = std::prev(self->incoming_.end());
   it->owner = self;
@@ -86,7 +88,7 @@
   bufferevent_enable(it->connection.get(), EV_READ);
 }
 
-void Peers::OnRead(bufferevent* connection, void* arg) {
+void PeerConnections::OnRead(bufferevent* connection, void* arg) {
   auto* peer = static_cast<Incoming*>(arg);
   evbuffer* input = bufferevent_get_input(connection);
   while (true) {
@@ -101,11 +103,11 @@
     if (size > length) return;
     auto heartbeat = wire::DecodePeerHeartbeat(data.substr(0, size));
     evbuffer_drain(input, size);
-    if (heartbeat) peer->owner->sink_(std::move(*heartbeat));
+    if (heartbeat) peer->owner->on_heartbeat_(std::move(*heartbeat));
   }
 }
 
-void Peers::OnIncomingEvent(bufferevent*, short what, void* arg) {
+void PeerConnections::OnIncomingEvent(bufferevent*, short what, void* arg) {
   auto* peer = static_cast<Incoming*>(arg);
   if (what & (BEV_EVENT_ERROR | BEV_EVENT_EOF | BEV_EVENT_TIMEOUT)) {
     peer->owner->incoming_.erase(peer->self);
--- a/src/io/peers.h
+++ b/src/io/peers.h
@@ -17,18 +17,19 @@
 
 // Sends heartbeats to the other controllers over one outgoing connection each,
 // and receives theirs over the connections that they open.
-class Peers {
+class PeerConnections {
  public:
   // Receives each valid heartbeat of a peer.
-  using Sink = std::function<void(PeerHeartbeat)>;
+  using HeartbeatHandler = std::function<void(PeerHeartbeat)>;
 
   // Listens on `bind`; `peers` are the addresses to send to. `base` must
   // outlive this object. Throws std::runtime_error if `bind` cannot be bound.
-  Peers(event_base* base, const Address& bind,
-        const std::vector<Address>& peers, Sink sink);
-  ~Peers();
-  Peers(const Peers&) = delete;
-  Peers& operator=(const Peers&) = delete;
+  PeerConnections(event_base* base, const Address& bind,
+                  const std::vector<Address>& peers,
+                  HeartbeatHandler on_heartbeat);
+  ~PeerConnections();
+  PeerConnections(const PeerConnections&) = delete;
+  PeerConnections& operator=(const PeerConnections&) = delete;
 
   // Sends the heartbeat to every peer that can be reached now. For other peers
   // it is lost: the next heartbeat replaces it.
@@ -41,7 +42,7 @@
     bool broken = false;  // to be opened anew by the next broadcast
   };
   struct Incoming {
-    Peers* owner = nullptr;
+    PeerConnections* owner = nullptr;
     BufferEvent connection;
     std::list<Incoming>::iterator self;  // this entry in `owner->incoming_`
   };
@@ -53,7 +54,7 @@
   static void OnOutgoingEvent(bufferevent*, short what, void* arg);
 
   event_base* base_;
-  Sink sink_;
+  HeartbeatHandler on_heartbeat_;
   Listener listener_;
   std::vector<std::unique_ptr<Outgoing>> outgoing_;
   std::list<Incoming> incoming_;  // the oldest first
--- a/src/io/runtime.h
+++ b/src/io/runtime.h
@@ -28,14 +28,14 @@
   void Run();
 
  private:
-  static void OnDrain(evutil_socket_t, short, void* arg);
-  static void OnTick(evutil_socket_t, short, void* arg);
+  static void OnBatchReady(evutil_socket_t, short, void* arg);
+  static void OnTickTimer(evutil_socket_t, short, void* arg);
   // Adds a command to the next batch.
-  void Push(Command command);
+  void Enqueue(Command command);
   // Lets the controller handle all queued commands and carries out the effects.
-  void Drain();
+  void ProcessBatch();
   // Each overload carries out one kind of effect.
-  void Perform(const Reply& reply) { http_server_.Answer(reply); }
+  void Perform(const Reply& reply) { http_server_.SendReply(reply); }
   void Perform(const StateCall& call);
   void Perform(const CloudCall& call);
   void Perform(const WorkerCall& call);
@@ -47,14 +47,15 @@
   EventBase base_;
   Controller controller_;
   HttpServer http_server_;
-  Peers peers_;
-  HttpClient state_;
-  HttpClient cloud_;
+  PeerConnections peers_;
+  HttpClient state_client_;
+  HttpClient cloud_client_;
   const size_t max_worker_clients_;
-  std::map<std::string, std::unique_ptr<HttpClient>> workers_;  // by address
-  Event drain_;  // active while commands are queued
-  Event tick_;   // queues a Tick periodically
-  std::vector<Command> queue_;
+  std::map<std::string, std::unique_ptr<HttpClient>>
+      worker_clients_;  // by address
+  Event batch_ready_;   // active while commands are queued
+  Event tick_timer_;    // queues a Tick periodically
+  std::vector<Command> pending_commands_;
 };
 
 }  // namespace pitchfall::io
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -15,59 +15,61 @@
 // bytes of MessagePack can announce billions of items, and the decoder
 // allocates memory for them. Users and workers are not trusted; the platform's
 // services send long lists.
-constexpr size_t kClientItems = 8192;
-constexpr size_t kServiceItems = 200000;
+constexpr size_t kMaxClientItems = 8192;
+constexpr size_t kMaxServiceItems = 200000;
 constexpr size_t kMaxDepth = 16;
 
 // Upper bounds on numbers and texts in messages; larger ones are refused.
 constexpr double kMaxAmount = 1e6;
 constexpr double kMaxSeconds = 1e9;
 constexpr uint64_t kMaxTasks = 100000;
-constexpr size_t kLongestText = 200;
+constexpr size_t kMaxNameBytes = 200;
 
-constexpr std::string_view kIdStart = "run-";
+constexpr std::string_view kJobIdPrefix = "run-";
 
 // An enumerator and its name on the wire.
 template <typename Enum>
-struct Word {
+struct EnumName {
   std::string_view text;
   Enum value;
 };
 
-constexpr Word<Priority> kPriorities[] = {{"production", Priority::kProduction},
-                                          {"high", Priority::kHigh},
-                                          {"standard", Priority::kNormal},
-                                          {"best_effort", Priority::kLow}};
-constexpr Word<Shape> kShapes[] = {{"sweep", Shape::kArray},
-                                   {"gang", Shape::kGang},
-                                   {"standing", Shape::kService}};
-constexpr Word<TaskState> kTaskStates[] = {{"pulling", TaskState::kFetching},
-                                           {"waiting", TaskState::kFetching},
-                                           {"running", TaskState::kRunning},
-                                           {"flushing", TaskState::kSaving},
-                                           {"exited", TaskState::kExited}};
-constexpr Word<ExitCause> kCauses[] = {
+constexpr EnumName<Priority> kPriorityNames[] = {
+    {"production", Priority::kProduction},
+    {"high", Priority::kHigh},
+    {"standard", Priority::kNormal},
+    {"best_effort", Priority::kLow}};
+constexpr EnumName<Shape> kShapeNames[] = {{"sweep", Shape::kArray},
+                                           {"gang", Shape::kGang},
+                                           {"standing", Shape::kService}};
+constexpr EnumName<TaskState> kTaskStateNames[] = {
+    {"pulling", TaskState::kFetching},
+    {"waiting", TaskState::kFetching},
+    {"running", TaskState::kRunning},
+    {"flushing", TaskState::kSaving},
+    {"exited", TaskState::kExited}};
+constexpr EnumName<ExitCause> kExitCauseNames[] = {
     {"done", ExitCause::kDone},   {"halted", ExitCause::kStopped},
     {"error", ExitCause::kError}, {"no_room", ExitCause::kNoCapacity},
     {"busy", ExitCause::kBusy},   {"no_such", ExitCause::kUnknownTask}};
-constexpr Word<MachineStatus> kMachineStatuses[] = {
+constexpr EnumName<MachineStatus> kMachineStatusNames[] = {
     {"starting", MachineStatus::kBooting},
     {"running", MachineStatus::kRunning},
     {"failed", MachineStatus::kFailed}};
 
 template <typename Enum, size_t n>
-Enum ReadWord(const Fields& in, std::string_view key,
-              const Word<Enum> (&words)[n]) {
+Enum ReadEnum(const Fields& in, std::string_view key,
+              const EnumName<Enum> (&names)[n]) {
   std::string text = in.Text(key);
-  for (const auto& word : words) {
-    if (word.text == text) return word.value;
+  for (const auto& name : names) {
+    if (name.text == text) return name.value;
   }
   Fields::Fail(key, "has an unknown value");
 }
 
 std::string ReadName(const Fields& in, std::string_view key) {
   std::string text = in.Text(key);
-  if (text.empty() || text.size() > kLongestText) {
+  if (text.empty() || text.size() > kMaxNameBytes) {
     Fields::Fail(key, "is empty or too long");
   }
   return text;
@@ -107,8 +109,8 @@
     Fields::Fail("uid", "is not \"run-\" followed by 1 to 20 digits");
   spec.job_class = ReadName(in, "lane");
   spec.team = ReadName(in, "crew");
-  spec.shape = ReadWord(in, "shape", kShapes);
-  spec.priority = ReadWord(in, "urgency", kPriorities);
+  spec.shape = ReadEnum(in, "shape", kShapeNames);
+  spec.priority = ReadEnum(in, "urgency", kPriorityNames);
   spec.tasks = static_cast<uint32_t>(in.Count("legs", kMaxTasks));
   if (spec.tasks == 0) Fields::Fail("legs", "is 0");
   spec.resources = Resources::FromDecimals(
@@ -159,9 +161,9 @@
     ReportedTask task;
     ReadTaskId(row.Text("leg"), task.job, task.task);
     task.attempt = static_cast<uint32_t>(row.Count("try", UINT32_MAX));
-    task.state = ReadWord(row, "status", kTaskStates);
+    task.state = ReadEnum(row, "status", kTaskStateNames);
     if (task.state == TaskState::kExited) {
-      task.cause = ReadWord(row, "cause", kCauses);
+      task.cause = ReadEnum(row, "cause", kExitCauseNames);
     }
     heartbeat.tasks.push_back(std::move(task));
   }
@@ -170,9 +172,9 @@
 
 // Decodes a message of a user or worker with `read`, which gets its fields.
 template <typename T, typename Read>
-Decoded<T> DecodeClient(std::string_view body, Read read) {
+Decoded<T> DecodeClientMessage(std::string_view body, Read read) {
   try {
-    Message message(body, kClientItems, kMaxDepth);
+    Message message(body, kMaxClientItems, kMaxDepth);
     return {read(Fields(message.root())), ""};
   } catch (const Malformed& problem) {
     return {std::nullopt, problem.what()};
@@ -192,7 +194,7 @@
   }
 }
 
-std::string_view StatusWord(JobAnswer::Status status) {
+std::string_view StatusName(JobAnswer::Status status) {
   switch (status) {
     case JobAnswer::Status::kQueued:
       return "queued";
@@ -209,7 +211,7 @@
 void PackBody(Packer& out, const std::monostate&) { out.Map(0); }
 void PackBody(Packer& out, const JobAnswer& answer) {
   out.Map(answer.counts ? 4 : 2).Pair("uid", answer.id);
-  out.Pair("status", StatusWord(answer.status));
+  out.Pair("status", StatusName(answer.status));
   if (answer.counts) {
     out.Pair("done", answer.done).Pair("running", answer.running);
   }
@@ -231,7 +233,7 @@
 
 // ---- State service ----
 
-std::string Body(const Transaction& txn) {
+std::string EncodeTransaction(const Transaction& txn) {
   Packer out;
   out.Map(2).Key("if").List(txn.conditions.size());
   for (const Condition& condition : txn.conditions) {
@@ -332,7 +334,7 @@
   machine.type = ReadName(in, "rig");
   machine.zone = ReadName(in, "yard");
   machine.spot = in.FlagOr("loaners", false);
-  machine.status = ReadWord(in, "status", kMachineStatuses);
+  machine.status = ReadEnum(in, "status", kMachineStatusNames);
   machine.age = ReadSeconds(in, "age_s");
   return machine;
 }
@@ -365,19 +367,19 @@
 }  // namespace
 
 bool ValidJobId(std::string_view id) {
-  if (!id.starts_with(kIdStart)) return false;
-  id.remove_prefix(kIdStart.size());
+  if (!id.starts_with(kJobIdPrefix)) return false;
+  id.remove_prefix(kJobIdPrefix.size());
   return !id.empty() && id.size() <= 20 &&
          std::all_of(id.begin(), id.end(),
                      [](char c) { return c >= '0' && c <= '9'; });
 }
 
 Decoded<JobSpec> DecodeSubmission(std::string_view body) {
-  return DecodeClient<JobSpec>(body, ReadSubmission);
+  return DecodeClientMessage<JobSpec>(body, ReadSubmission);
 }
 
 Decoded<WorkerHeartbeat> DecodeWorkerHeartbeat(std::string_view body) {
-  return DecodeClient<WorkerHeartbeat>(body, ReadWorkerHeartbeat);
+  return DecodeClientMessage<WorkerHeartbeat>(body, ReadWorkerHeartbeat);
 }
 
 std::string EncodeReplyBody(const ReplyBody& body) {
@@ -391,7 +393,7 @@
   if (const auto* txn = std::get_if<Transaction>(&request)) {
     http.post = true;
     http.path = "/txn";
-    http.body = Body(*txn);
+    http.body = EncodeTransaction(*txn);
   } else if (const auto* grant = std::get_if<Grant>(&request)) {
     http.post = true;
     http.path = "/grants";
@@ -418,7 +420,7 @@
   reply.status = status;
   if (status == 0 || std::holds_alternative<Renew>(request)) return reply;
   try {
-    Message message(body, kServiceItems, kMaxDepth);
+    Message message(body, kMaxServiceItems, kMaxDepth);
     if (status == 200 || status == 409 || status == 400) {
       Fields in(message.root());
       std::visit([&](const auto& r) { ReadInto(reply, r, in); }, request);
@@ -435,20 +437,20 @@
   HttpRequest http;
   if (std::holds_alternative<GetTypes>(request)) {
     http.path = "/flavors";
-  } else if (const auto* rent = std::get_if<CreateInstances>(&request)) {
+  } else if (const auto* creation = std::get_if<CreateInstances>(&request)) {
     http.post = true;
     http.path = "/rentals";
     Packer out;
-    out.Map(5).Pair("hire", rent->name).Pair("rig", rent->type);
-    out.Pair("yard", rent->zone).Pair("loaners", rent->spot);
-    out.Pair("count", rent->count);
+    out.Map(5).Pair("hire", creation->name).Pair("rig", creation->type);
+    out.Pair("yard", creation->zone).Pair("loaners", creation->spot);
+    out.Pair("count", creation->count);
     http.body = out.Take();
-  } else if (const auto* gone = std::get_if<DeleteMachines>(&request)) {
+  } else if (const auto* deletion = std::get_if<DeleteMachines>(&request)) {
     http.post = true;
     http.path = "/rentals/delete";
     Packer out;
-    out.Map(1).Key("tines").List(gone->machines.size());
-    for (const std::string& name : gone->machines) out.Value(name);
+    out.Map(1).Key("tines").List(deletion->machines.size());
+    for (const std::string& name : deletion->machines) out.Value(name);
     http.body = out.Take();
   } else if (const auto* list = std::get_if<ListMachines>(&request)) {
     http.path = "/rentals?most=500";
@@ -465,7 +467,7 @@
     return reply;
   }
   try {
-    Message message(body, kServiceItems, kMaxDepth);
+    Message message(body, kMaxServiceItems, kMaxDepth);
     if (status == 200 || status == 503) {
       Fields in(message.root());
       std::visit([&](const auto& r) { ReadInto(reply, r, in); }, request);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -23,7 +23,7 @@
 // ---- Users and workers, incoming ----
 
 inline constexpr char kJobsPath[] = "/api/jobs";
-inline constexpr char kCancelEnd[] = "/cancel";
+inline constexpr char kCancelSuffix[] = "/cancel";
 inline constexpr char kHealthPath[] = "/healthz";
 inline constexpr char kHeartbeatPath[] = "/checkin";
 
--- a/src/wire/pack.h
+++ b/src/wire/pack.h
@@ -106,20 +106,20 @@
   bool FlagOr(std::string_view key, bool fallback) const {
     return Find(key) == nullptr ? fallback : Flag(key);
   }
-  uint64_t Count(std::string_view key, uint64_t most = UINT64_MAX) const {
-    return AsCount(Get(key), key, most);
+  uint64_t Count(std::string_view key, uint64_t max = UINT64_MAX) const {
+    return AsCount(Get(key), key, max);
   }
   uint64_t CountOr(std::string_view key, uint64_t fallback) const {
     const msgpack::object* found = Find(key);
     return found == nullptr ? fallback : AsCount(*found, key, UINT64_MAX);
   }
-  // Reads a finite number from 0 to `most`, integer or not.
-  double Amount(std::string_view key, double most) const {
-    return AsAmount(Get(key), key, most);
+  // Reads a finite number from 0 to `max`, integer or not.
+  double Amount(std::string_view key, double max) const {
+    return AsAmount(Get(key), key, max);
   }
-  double AmountOr(std::string_view key, double most, double fallback) const {
+  double AmountOr(std::string_view key, double max, double fallback) const {
     const msgpack::object* found = Find(key);
-    return found == nullptr ? fallback : AsAmount(*found, key, most);
+    return found == nullptr ? fallback : AsAmount(*found, key, max);
   }
   const msgpack::object_array& List(std::string_view key) const {
     const msgpack::object& value = Get(key);
@@ -135,15 +135,15 @@
     return {value.via.str.ptr, value.via.str.size};
   }
   static uint64_t AsCount(const msgpack::object& value, std::string_view key,
-                          uint64_t most) {
+                          uint64_t max) {
     if (value.type != msgpack::type::POSITIVE_INTEGER) {
       Fail(key, "is not a non-negative integer");
     }
-    if (value.via.u64 > most) Fail(key, "is too large");
+    if (value.via.u64 > max) Fail(key, "is too large");
     return value.via.u64;
   }
   static double AsAmount(const msgpack::object& value, std::string_view key,
-                         double most) {
+                         double max) {
     double number = 0;
     switch (value.type) {
       case msgpack::type::POSITIVE_INTEGER:
@@ -156,7 +156,7 @@
       default:
         Fail(key, "is not a non-negative number");
     }
-    if (!std::isfinite(number) || number < 0 || number > most) {
+    if (!std::isfinite(number) || number < 0 || number > max) {
       Fail(key, "is out of range");
     }
     return number;
--- a/src/wire/peer.cc
+++ b/src/wire/peer.cc
@@ -12,16 +12,16 @@
 namespace {
 
 // The largest message that is accepted.
-constexpr size_t kMaxBytes = size_t{64} * 1024;
+constexpr size_t kMaxMessageBytes = size_t{64} * 1024;
 // Cap'n Proto measures messages in words of 8 bytes.
-constexpr size_t kWord = sizeof(capnp::word);
+constexpr size_t kWordBytes = sizeof(capnp::word);
 
 // Copies the data to aligned memory; an incomplete word at its end is dropped.
-kj::Array<capnp::word> Aligned(std::string_view data) {
-  auto words = kj::heapArray<capnp::word>(data.size() / kWord);
+kj::Array<capnp::word> CopyToWords(std::string_view data) {
+  auto words = kj::heapArray<capnp::word>(data.size() / kWordBytes);
   // An empty array may have a null address, which memcpy must not be given.
   if (words.size() > 0) {
-    std::memcpy(words.begin(), data.data(), words.size() * kWord);
+    std::memcpy(words.begin(), data.data(), words.size() * kWordBytes);
   }
   return words;
 }
@@ -87,18 +87,18 @@
 }
 
 size_t PeerHeartbeatSize(std::string_view data) {
-  auto words = Aligned(data.substr(0, kMaxBytes));
-  if (words.size() == 0) return kWord;
-  size_t size = capnp::expectedSizeInWordsFromPrefix(words) * kWord;
-  return size > kMaxBytes ? 0 : size;
+  auto words = CopyToWords(data.substr(0, kMaxMessageBytes));
+  if (words.size() == 0) return kWordBytes;
+  size_t size = capnp::expectedSizeInWordsFromPrefix(words) * kWordBytes;
+  return size > kMaxMessageBytes ? 0 : size;
 }
 
 std::optional<PeerHeartbeat> DecodePeerHeartbeat(std::string_view message) {
   try {
-    auto words = Aligned(message);
+    auto words = CopyToWords(message);
     capnp::ReaderOptions options;
     // Guards against messages whose pointers refer to the same data repeatedly.
-    options.traversalLimitInWords = kMaxBytes / kWord * 4;
+    options.traversalLimitInWords = kMaxMessageBytes / kWordBytes * 4;
     capnp::FlatArrayMessageReader reader(words, options);
     auto root = reader.getRoot<schema::PeerHeartbeat>();
     PeerHeartbeat heartbeat;
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -144,13 +144,13 @@
   }
 }
 
-using Place = std::pair<std::string, std::string>;  // machine, zone
+using MachineAndZone = std::pair<std::string, std::string>;
 
 // Assignments with the same machine and attempt number form one group, stored
 // as ranges of tasks. A group refers to its machine by index in the segment's
 // `table`.
 void PackEntry(Packer& out, const SegmentRecord::Entry& entry,
-               const std::map<Place, uint32_t>& table) {
+               const std::map<MachineAndZone, uint32_t>& table) {
   const ChunkRecord& record = entry.record;
   std::map<std::pair<uint32_t, uint32_t>, TaskSet> groups;
   for (const Assignment& a : record.assigned) {
@@ -169,17 +169,17 @@
 }
 
 void Pack(Packer& out, const SegmentRecord& segment) {
-  std::map<Place, uint32_t> table;
+  std::map<MachineAndZone, uint32_t> table;
   for (const auto& entry : segment.entries) {
     for (const Assignment& a : entry.record.assigned) {
-      table.emplace(Place{a.machine, a.zone}, 0);
+      table.emplace(MachineAndZone{a.machine, a.zone}, 0);
     }
   }
   uint32_t count = 0;
-  for (auto& [place, index] : table) index = count++;
+  for (auto& [machine, index] : table) index = count++;
   out.Map(2).Key("on").List(table.size() * 2);
-  for (const auto& [place, index] : table) {
-    out.Value(place.first).Value(place.second);
+  for (const auto& [machine, index] : table) {
+    out.Value(machine.first).Value(machine.second);
   }
   out.Key("chunks").List(segment.entries.size());
   for (const auto& entry : segment.entries) PackEntry(out, entry, table);
@@ -201,10 +201,10 @@
   return tasks;
 }
 
-// Throws Malformed unless the value is a list of at least `least` items.
+// Throws Malformed unless the value is a list of at least `min_size` items.
 const msgpack::object_array& AsList(const msgpack::object& value,
-                                    std::string_view key, uint32_t least) {
-  if (value.type != msgpack::type::ARRAY || value.via.array.size < least) {
+                                    std::string_view key, uint32_t min_size) {
+  if (value.type != msgpack::type::ARRAY || value.via.array.size < min_size) {
     Fields::Fail(key, "is not a list or has too few items");
   }
   return value.via.array;
@@ -215,7 +215,7 @@
 }
 
 SegmentRecord::Entry ReadEntry(const msgpack::object& value,
-                               const std::vector<Place>& table) {
+                               const std::vector<MachineAndZone>& table) {
   constexpr std::string_view kKey = "chunks";
   const auto& list = AsList(value, kKey, 6);
   SegmentRecord::Entry entry;
@@ -228,8 +228,8 @@
   const auto& groups = AsList(list.ptr[5], kKey, 0);
   for (uint32_t i = 0; i < groups.size; ++i) {
     const auto& group = AsList(groups.ptr[i], kKey, 2);
-    uint64_t place = AsNumber(group.ptr[0], kKey);
-    if (place >= table.size())
+    uint64_t machine = AsNumber(group.ptr[0], kKey);
+    if (machine >= table.size())
       Fields::Fail(kKey, "refers to a machine that is not in the table");
     uint32_t attempt = AsNumber(group.ptr[1], kKey);
     TaskSet tasks = ReadRanges(group, 2, kKey);
@@ -240,7 +240,7 @@
       for (uint32_t t = boost::icl::first(range); t <= boost::icl::last(range);
            ++t) {
         record.assigned.push_back(
-            {t, attempt, table[place].first, table[place].second});
+            {t, attempt, table[machine].first, table[machine].second});
       }
     }
   }
@@ -248,12 +248,13 @@
 }
 
 SegmentRecord ReadSegment(const Fields& in) {
-  const auto& places = in.List("on");
-  if (places.size % 2 != 0) Fields::Fail("on", "has a machine without a zone");
-  std::vector<Place> table;
-  for (uint32_t i = 0; i < places.size; i += 2) {
-    table.push_back({Fields::AsText(places.ptr[i], "on"),
-                     Fields::AsText(places.ptr[i + 1], "on")});
+  const auto& machines = in.List("on");
+  if (machines.size % 2 != 0)
+    Fields::Fail("on", "has a machine without a zone");
+  std::vector<MachineAndZone> table;
+  for (uint32_t i = 0; i < machines.size; i += 2) {
+    table.push_back({Fields::AsText(machines.ptr[i], "on"),
+                     Fields::AsText(machines.ptr[i + 1], "on")});
   }
   SegmentRecord segment;
   const auto& chunks = in.List("chunks");
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -33,7 +33,7 @@
           if (auto* poll = std::get_if<PollJob>(&command)) {
             held_.push_back(poll->request);
           } else if (auto* check = std::get_if<HealthCheck>(&command)) {
-            http_server_->Answer({check->request, 200, {}, {}});
+            http_server_->SendReply({check->request, 200, {}, {}});
           }
         });
   }
@@ -101,7 +101,7 @@
   close(probe);
   sockets_.pop_back();
   // One that has gone leaves its place to the next.
-  http_server_->Answer({held_.front(), 404, Problem{"none"}, {}});
+  http_server_->SendReply({held_.front(), 404, Problem{"none"}, {}});
   EXPECT_TRUE(Read(sockets_.front()).starts_with("HTTP/1.1 404"));
   close(sockets_.front());
   sockets_.erase(sockets_.begin());
@@ -125,7 +125,7 @@
       Turn();
     }
     for (RequestId id : std::exchange(held_, {})) {
-      http_server_->Answer({id, 503, Problem{"later"}, {}, round % 8 == 3});
+      http_server_->SendReply({id, 503, Problem{"later"}, {}, round % 8 == 3});
     }
     Turn();
     if (round % 4 != 2) {
@@ -134,7 +134,7 @@
     }
     Turn();
     for (RequestId id : std::exchange(held_, {})) {
-      http_server_->Answer({id, 404, Problem{"none"}, {}});
+      http_server_->SendReply({id, 404, Problem{"none"}, {}});
     }
     Turn();
   }
