--- a/src/cli/deployment_file.cc
+++ b/src/cli/deployment_file.cc
@@ -54,7 +54,7 @@
     return Has(key) ? Number(key, min, max) : fallback;
   }
 
-  // Returns the value as it stands in the file, once it has been checked.
+  // Returns the value unchanged after checking that it is HOST:PORT.
   std::string HostAndPort(std::string_view key) const {
     std::string text = Text(key);
     try {
--- a/src/io/runtime.h
+++ b/src/io/runtime.h
@@ -51,10 +51,10 @@
   HttpClient state_client_;
   HttpClient cloud_client_;
   const size_t max_worker_clients_;
-  std::map<std::string, std::unique_ptr<HttpClient>>
-      worker_clients_;  // by address
-  Event batch_ready_;   // active while commands are queued
-  Event tick_timer_;    // queues a Tick periodically
+  // By address; those that are idle are dropped to make room for others.
+  std::map<std::string, std::unique_ptr<HttpClient>> worker_clients_;
+  Event batch_ready_;  // active while commands are queued
+  Event tick_timer_;   // queues a Tick periodically
   std::vector<Command> pending_commands_;
 };
 
