--- a/src/cli/deployment_file.cc
+++ b/src/cli/deployment_file.cc
@@ -14,9 +14,12 @@
 namespace pitchfall::cli {
 namespace {
 
-// Reads one table; unknown keys are ignored, as the platform may add some.
+// Reads the values of one table and reports errors with the file and the key's
+// full path. Unknown keys are ignored, because the platform may add some. A
+// table that is absent from the file behaves like an empty one.
 class Table {
  public:
+  // `table` is null if the file lacks the table; `path` is empty for the root.
   Table(const toml::table* table, std::string file, std::string path)
       : table_(table), file_(std::move(file)), path_(std::move(path)) {}
 
@@ -26,8 +29,8 @@
   }
 
   std::string Text(std::string_view key) const {
-    const toml::node* node = Need(key);
-    if (!node->is_string()) Fail(key, "must be text");
+    const toml::node* node = Require(key);
+    if (!node->is_string()) Fail(key, "must be a string");
     std::string text = node->as_string()->get();
     if (text.empty()) Fail(key, "must not be empty");
     return text;
@@ -37,20 +40,21 @@
     return Has(key) ? Text(key) : std::move(fallback);
   }
 
-  double Number(std::string_view key, double least, double most) const {
-    const toml::node* node = Need(key);
+  double Number(std::string_view key, double min, double max) const {
+    const toml::node* node = Require(key);
     if (!node->is_number()) Fail(key, "must be a number");
     double value = *node->value<double>();
-    if (!std::isfinite(value) || value < least || value > most) {
-      Fail(key, fmt::format("must be from {} to {}", least, most));
+    if (!std::isfinite(value) || value < min || value > max) {
+      Fail(key, fmt::format("must be from {} to {}", min, max));
     }
     return value;
   }
-  double NumberOr(std::string_view key, double least, double most,
+  double NumberOr(std::string_view key, double min, double max,
                   double fallback) const {
-    return Has(key) ? Number(key, least, most) : fallback;
+    return Has(key) ? Number(key, min, max) : fallback;
   }
 
+  // Returns the value unchanged after checking that it is HOST:PORT.
   std::string HostAndPort(std::string_view key) const {
     std::string text = Text(key);
     try {
@@ -61,13 +65,14 @@
     return text;
   }
 
-  std::vector<std::string> Texts(std::string_view key) const {
+  // Empty if the key is absent.
+  std::vector<std::string> TextList(std::string_view key) const {
     std::vector<std::string> texts;
     if (!Has(key)) return texts;
     const toml::array* array = table_->get(key)->as_array();
-    if (array == nullptr) Fail(key, "must be a list of texts");
+    if (array == nullptr) Fail(key, "must be a list of strings");
     for (const toml::node& node : *array) {
-      if (!node.is_string()) Fail(key, "must be a list of texts");
+      if (!node.is_string()) Fail(key, "must be a list of strings");
       texts.push_back(node.as_string()->get());
     }
     return texts;
@@ -85,6 +90,7 @@
     return table_ != nullptr && table_->contains(key);
   }
 
+  // Returns the tables of an array of tables; empty if the key is absent.
   std::vector<Table> Children(std::string_view key) const {
     std::vector<Table> children;
     if (!Has(key)) return children;
@@ -99,7 +105,7 @@
   }
 
  private:
-  const toml::node* Need(std::string_view key) const {
+  const toml::node* Require(std::string_view key) const {
     if (!Has(key)) Fail(key, "is missing");
     return table_->get(key);
   }
@@ -112,15 +118,19 @@
   std::string path_;
 };
 
+// Upper bound on all numbers without a bound of their own.
 constexpr double kMaxNumber = 1e9;
 
-int64_t Units(double amount) { return Resources::FromDecimal(amount); }
+// Converts an amount of a resource to the millionths that Resources counts.
+int64_t ToMillionths(double amount) { return Resources::FromDecimal(amount); }
 
-// The smallest value that holds a job's record with the usual names.
+// The smallest limit on a value's size with which a job record with names of
+// usual length can be stored.
 constexpr double kMinValueKb = 2;
+// Upper bound on the operations of a transaction.
 constexpr double kMaxOps = 1e6;
 
-// Limits that are not announced stay as they are.
+// Reads the announced limits; those that the table lacks stay as they are now.
 Deployment::StateServiceLimits ReadNextLimits(
     const Table& next, const Deployment::StateServiceLimits& present) {
   Deployment::StateServiceLimits limits;
@@ -134,7 +144,7 @@
   return limits;
 }
 
-Deployment Read(const Table& root) {
+Deployment ReadDeployment(const Table& root) {
   Deployment d;
   d.label = root.Text("label");
   d.zone = root.Text("site");
@@ -143,7 +153,7 @@
   for (const Table& peer : root.Children("known")) {
     d.peers.push_back({peer.Text("label"), peer.HostAndPort("address")});
     if (d.peers.back().label == d.label) {
-      peer.Fail("label", "is this controller's own");
+      peer.Fail("label", "must not be this controller's own label");
     }
   }
   Table services = root.Child("services");
@@ -151,18 +161,18 @@
   d.state_address = services.HostAndPort("state");
 
   Table cluster = root.Child("cluster");
-  d.zones = cluster.Texts("zones");
+  d.zones = cluster.TextList("zones");
   d.time_bound =
       Seconds(cluster.NumberOr("time_bound_ms", 0, kMaxNumber, 0) / 1e3);
   for (const Table& row : cluster.Children("teams")) {
     Team team;
     team.name = row.Text("name");
-    team.cpus_guaranteed = Units(row.NumberOr("cpus", 0, kMaxNumber, 0));
-    team.cpus_limit = Units(row.NumberOr("cpus_max", 0, kMaxNumber, 0));
-    team.gpus_guaranteed = Units(row.NumberOr("gpus", 0, kMaxNumber, 0));
-    team.gpus_limit = Units(row.NumberOr("gpus_max", 0, kMaxNumber, 0));
+    team.cpus_guaranteed = ToMillionths(row.NumberOr("cpus", 0, kMaxNumber, 0));
+    team.cpus_limit = ToMillionths(row.NumberOr("cpus_max", 0, kMaxNumber, 0));
+    team.gpus_guaranteed = ToMillionths(row.NumberOr("gpus", 0, kMaxNumber, 0));
+    team.gpus_limit = ToMillionths(row.NumberOr("gpus_max", 0, kMaxNumber, 0));
     if (!d.teams.emplace(team.name, team).second) {
-      row.Fail("name", "stands twice");
+      row.Fail("name", "must be unique: another team has the same name");
     }
   }
   for (const Table& row : cluster.Children("objectives")) {
@@ -203,7 +213,7 @@
 Deployment ParseDeployment(const std::string& text, const std::string& file) {
   try {
     toml::table root = toml::parse(text, file);
-    return Read(Table(&root, file, ""));
+    return ReadDeployment(Table(&root, file, ""));
   } catch (const toml::parse_error& problem) {
     throw SettingsError(fmt::format(
         "{}:{}: {}", file, problem.source().begin.line, problem.description()));
@@ -212,7 +222,9 @@
 
 Deployment LoadDeployment(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw SettingsError(fmt::format("{}: cannot be read", file));
+  if (!in)
+    throw SettingsError(fmt::format(
+        "{}: cannot be opened: check that it exists and is readable", file));
   std::ostringstream text;
   text << in.rdbuf();
   return ParseDeployment(text.str(), file);
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -1,5 +1,5 @@
-// Records as they lie in the state service. Field names are short: the
-// service's limits are counted in bytes.
+// The stored form of the records. Field names are short because the state
+// service limits the size of a value and of a transaction in bytes.
 #include "wire/records.h"
 
 #include <map>
@@ -22,12 +22,12 @@
     return static_cast<int64_t>(value.via.u64);
   }
   if (value.type == msgpack::type::NEGATIVE_INTEGER) return value.via.i64;
-  Fields::Fail(key, "is not a whole number");
+  Fields::Fail(key, "is not an integer");
 }
 
 Resources ReadResources(const Fields& in, std::string_view key) {
   const auto& list = in.List(key);
-  if (list.size != 3) Fields::Fail(key, "is not three numbers");
+  if (list.size != 3) Fields::Fail(key, "is not a list of three numbers");
   return {AsInteger(list.ptr[0], key), AsInteger(list.ptr[1], key),
           AsInteger(list.ptr[2], key)};
 }
@@ -78,7 +78,8 @@
   out.Pair("chunk", job.chunk_size).Pair("home", job.home);
   out.Pair("over", job.spread_over).Pair("v", 1);
   out.Pair("shape", static_cast<int>(spec.shape));
-  // Runs of chunks of one owner: how many, partition, epoch.
+  // Consecutive chunks with the same owner are stored as one run of three
+  // numbers: count, partition, epoch.
   size_t runs = 0;
   const auto& owners = job.owners;
   for (size_t i = 0; i < owners.size(); ++i) {
@@ -121,7 +122,7 @@
   job.home = static_cast<uint32_t>(in.Count("home", UINT32_MAX));
   job.spread_over = static_cast<uint32_t>(in.Count("over", UINT32_MAX));
   const auto& runs = in.List("owners");
-  if (runs.size % 3 != 0) Fields::Fail("owners", "is not in threes");
+  if (runs.size % 3 != 0) Fields::Fail("owners", "is not a list of triples");
   for (uint32_t i = 0; i < runs.size; i += 3) {
     uint64_t count = Fields::AsCount(runs.ptr[i], "owners", kMaxChunks);
     ChunkOwner owner;
@@ -143,12 +144,13 @@
   }
 }
 
-using Place = std::pair<std::string, std::string>;  // machine, zone
+using MachineAndZone = std::pair<std::string, std::string>;
 
-// Tries of one machine and number together, as ranges of tasks. Machines stand
-// by their place in the segment's table.
+// Assignments with the same machine and attempt number form one group, stored
+// as ranges of tasks. A group refers to its machine by index in the segment's
+// `table`.
 void PackEntry(Packer& out, const SegmentRecord::Entry& entry,
-               const std::map<Place, uint32_t>& table) {
+               const std::map<MachineAndZone, uint32_t>& table) {
   const ChunkRecord& record = entry.record;
   std::map<std::pair<uint32_t, uint32_t>, TaskSet> groups;
   for (const Assignment& a : record.assigned) {
@@ -167,27 +169,29 @@
 }
 
 void Pack(Packer& out, const SegmentRecord& segment) {
-  std::map<Place, uint32_t> table;
+  std::map<MachineAndZone, uint32_t> table;
   for (const auto& entry : segment.entries) {
     for (const Assignment& a : entry.record.assigned) {
-      table.emplace(Place{a.machine, a.zone}, 0);
+      table.emplace(MachineAndZone{a.machine, a.zone}, 0);
     }
   }
   uint32_t count = 0;
-  for (auto& [place, index] : table) index = count++;
+  for (auto& [machine, index] : table) index = count++;
   out.Map(2).Key("on").List(table.size() * 2);
-  for (const auto& [place, index] : table) {
-    out.Value(place.first).Value(place.second);
+  for (const auto& [machine, index] : table) {
+    out.Value(machine.first).Value(machine.second);
   }
   out.Key("chunks").List(segment.entries.size());
   for (const auto& entry : segment.entries) PackEntry(out, entry, table);
 }
 
-// Ranges stand as pairs of first and last task.
+// Reads the ranges from index `from` of the list on. A range is stored as its
+// first and last task, both included.
 TaskSet ReadRanges(const msgpack::object_array& list, uint32_t from,
                    std::string_view key) {
   TaskSet tasks;
-  if ((list.size - from) % 2 != 0) Fields::Fail(key, "has half a range");
+  if ((list.size - from) % 2 != 0)
+    Fields::Fail(key, "has a range without an end");
   for (uint32_t i = from; i + 1 < list.size; i += 2) {
     auto first = Fields::AsCount(list.ptr[i], key, UINT32_MAX - 1);
     auto last = Fields::AsCount(list.ptr[i + 1], key, UINT32_MAX - 1);
@@ -197,10 +201,11 @@
   return tasks;
 }
 
+// Throws Malformed unless the value is a list of at least `min_size` items.
 const msgpack::object_array& AsList(const msgpack::object& value,
-                                    std::string_view key, uint32_t least) {
-  if (value.type != msgpack::type::ARRAY || value.via.array.size < least) {
-    Fields::Fail(key, "is not a long enough list");
+                                    std::string_view key, uint32_t min_size) {
+  if (value.type != msgpack::type::ARRAY || value.via.array.size < min_size) {
+    Fields::Fail(key, "is not a list or has too few items");
   }
   return value.via.array;
 }
@@ -210,7 +215,7 @@
 }
 
 SegmentRecord::Entry ReadEntry(const msgpack::object& value,
-                               const std::vector<Place>& table) {
+                               const std::vector<MachineAndZone>& table) {
   constexpr std::string_view kKey = "chunks";
   const auto& list = AsList(value, kKey, 6);
   SegmentRecord::Entry entry;
@@ -223,18 +228,19 @@
   const auto& groups = AsList(list.ptr[5], kKey, 0);
   for (uint32_t i = 0; i < groups.size; ++i) {
     const auto& group = AsList(groups.ptr[i], kKey, 2);
-    uint64_t place = AsNumber(group.ptr[0], kKey);
-    if (place >= table.size()) Fields::Fail(kKey, "names no machine");
+    uint64_t machine = AsNumber(group.ptr[0], kKey);
+    if (machine >= table.size())
+      Fields::Fail(kKey, "refers to a machine that is not in the table");
     uint32_t attempt = AsNumber(group.ptr[1], kKey);
     TaskSet tasks = ReadRanges(group, 2, kKey);
     if (record.assigned.size() + boost::icl::cardinality(tasks) > kMaxInChunk) {
-      Fields::Fail(kKey, "binds too many tasks");
+      Fields::Fail(kKey, "assigns too many tasks");
     }
     for (const auto& range : tasks) {
       for (uint32_t t = boost::icl::first(range); t <= boost::icl::last(range);
            ++t) {
         record.assigned.push_back(
-            {t, attempt, table[place].first, table[place].second});
+            {t, attempt, table[machine].first, table[machine].second});
       }
     }
   }
@@ -242,12 +248,13 @@
 }
 
 SegmentRecord ReadSegment(const Fields& in) {
-  const auto& places = in.List("on");
-  if (places.size % 2 != 0) Fields::Fail("on", "has half a machine");
-  std::vector<Place> table;
-  for (uint32_t i = 0; i < places.size; i += 2) {
-    table.push_back({Fields::AsText(places.ptr[i], "on"),
-                     Fields::AsText(places.ptr[i + 1], "on")});
+  const auto& machines = in.List("on");
+  if (machines.size % 2 != 0)
+    Fields::Fail("on", "has a machine without a zone");
+  std::vector<MachineAndZone> table;
+  for (uint32_t i = 0; i < machines.size; i += 2) {
+    table.push_back({Fields::AsText(machines.ptr[i], "on"),
+                     Fields::AsText(machines.ptr[i + 1], "on")});
   }
   SegmentRecord segment;
   const auto& chunks = in.List("chunks");
