--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -1,5 +1,5 @@
-// The parts of the autoscaler by themselves: each is constructed alone and
-// spoken to through the calls that it makes.
+// Tests the components of the autoscaler, each alone, through the calls that it
+// makes to the state service and the cloud.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -43,8 +43,9 @@
   return type;
 }
 
-// A state cache, rates without bounds, a clock that stands still, and what the
-// code under test has asked for.
+// The environment of one component: a state cache, rate budgets that do not run
+// out, a clock that the test advances, and the calls that the component has
+// made.
 class AutoscalerPartTest : public ::testing::Test {
  protected:
   AutoscalerPartTest()
@@ -73,7 +74,7 @@
     cache_.Apply({key, std::move(value), ++revision_});
   }
 
-  // A job with tasks bound to these machines.
+  // Stores a job with these assignments in the state cache.
   void ApplyJob(const JobSpec& spec, const std::vector<Assignment>& assigned) {
     JobRecord record;
     record.spec = spec;
@@ -83,7 +84,7 @@
     Apply(keys::Segment(0, next_slot_++), SegmentRecord{{{spec.id, 0, chunk}}});
   }
 
-  // Collects the calls since the last time.
+  // Replaces the collected calls by those made since the last time.
   void Collect() {
     state_calls_.clear();
     cloud_calls_.clear();
@@ -120,7 +121,8 @@
     Collect();
   }
 
-  // Lets the inventory read a list with these machines, all at once.
+  // Lets 10 s pass and the inventory read a list with these machines in one
+  // page.
   void List(std::vector<ListedMachine> listed) {
     Advance(Seconds(10));
     inventory_.ListIfDue();
@@ -451,7 +453,7 @@
   instance_requests_.Reconcile();
   Collect();
   EXPECT_THAT(state_calls_, IsEmpty());
-  // A new leader learns of the machine from the request.
+  // A new leader learns of the machine from the stored request.
   ASSERT_NE(inventory_.Find("m-1"), nullptr);
   instance_requests_.Reconcile();
   Collect();
@@ -474,7 +476,7 @@
   EXPECT_TRUE(scale_out_.RequestCheapest(3, demand, decision_));
   Collect();
   ASSERT_THAT(StoredTransaction().writes, SizeIs(2));
-  // One machine is in zone a already.
+  // Zone a has one machine already.
   EXPECT_EQ(OfferOf(StoredRecord<InstanceRequestRecord>(0)),
             (Offer{"small", "b", true}));
   EXPECT_EQ(StoredRecord<InstanceRequestRecord>(0).count, 2u);
@@ -517,7 +519,7 @@
   EXPECT_EQ(scale_out_.FindUnservedJob(DemandOf(*job), use), nullptr);
   use["m-1"].by_priority[Priority::kNormal] = all;
   EXPECT_EQ(scale_out_.FindUnservedJob(DemandOf(*job), use), job);
-  // A pending instance will do.
+  // A pending instance that can run the job is enough.
   Apply(keys::InstanceRequest("r-50-1"),
         InstanceRequestRecord{"small", "b", true, 1, now_.wall, {}});
   EXPECT_EQ(scale_out_.FindUnservedJob(DemandOf(*job), use), nullptr);
@@ -527,7 +529,9 @@
 
 class ScaleInTest : public AutoscalerPartTest {
  protected:
-  // Has there been a surplus for long enough, and machines without tasks idle.
+  // Calls CordonSurplus when the surplus begins and again once it has lasted
+  // for `idle_before_return`. Returns whether the second call cordoned
+  // machines.
   bool CordonAfterAWhile(const Surplus& surplus, const MachineUseTable& use) {
     inventory_.RecordUse(use);
     EXPECT_FALSE(scale_in_.CordonSurplus(surplus, use, decision_));
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -1,4 +1,5 @@
-// The decoders on good, bad and random input, and records there and back.
+// Tests the decoders with valid, invalid and random input, and that records and
+// peer heartbeats survive encoding and decoding.
 #include "wire/codec.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,8 @@
 namespace pitchfall::wire {
 namespace {
 
-// A valid submission with one field replaced or left out.
+// Returns a valid submission, with `field` set by `value`, or left out if
+// `value` is empty. An empty `field` changes nothing.
 std::string Submission(const std::string& field = "",
                        const std::function<void(Packer&)>& value = {}) {
   Packer out;
@@ -108,8 +110,8 @@
   }
 }
 
-// A standing job has neither a run time nor a due time; its fields are required
-// like those of any other.
+// A standing job has neither a run time nor a deadline. The fields for run time
+// and checkpoints are required all the same.
 TEST(Submission, StandingJobsAreChecked) {
   using Fields = std::map<std::string, double>;
   auto submit = [](uint32_t legs, const Fields& times) {
@@ -145,7 +147,7 @@
 TEST(Submission, NullEqualsAbsentAndUnknownIsIgnored) {
   Packer extra;
   std::string body = Submission();
-  body[0] = static_cast<char>(0x80 | 15);  // one more pair
+  body[0] = static_cast<char>(0x80 | 15);  // the map holds one more pair
   extra.Raw(body).Key("rigs").Null();
   EXPECT_TRUE(DecodeSubmission(extra.Take()).value);
   Packer unknown;
@@ -160,7 +162,8 @@
   EXPECT_FALSE(DecodeSubmission(Submission() + "x").value);
 }
 
-// Headers that promise more than the body holds must not be believed.
+// A header may announce more elements than the body holds, and must not be
+// trusted.
 TEST(Submission, HugeCountsAndDeepNestingAreRefused) {
   EXPECT_FALSE(DecodeSubmission(std::string("\xdf\xff\xff\xff\xff", 5)).value);
   EXPECT_FALSE(DecodeSubmission(std::string("\xdd\xff\xff\xff\xff", 5)).value);
@@ -224,7 +227,8 @@
   return chunk;
 }
 
-// The size in the JSON form in which the service counts.
+// Returns the size of the record as JSON, the form in which the state service
+// counts.
 size_t JsonSize(const std::string& packed) {
   std::ostringstream text;
   text << msgpack::unpack(packed.data(), packed.size()).get();
@@ -277,7 +281,7 @@
 }
 
 // The largest chunk, with each task on a machine of its own, must fit the
-// smallest value the state service takes (8 KiB in the deployments so far).
+// smallest value limit of the state service (8 KiB in the deployments so far).
 TEST(Records, LargestChunkFitsASegment) {
   ChunkRecord chunk;
   for (uint32_t task = 0; task < kMaxInChunkVersion1; ++task) {
@@ -289,8 +293,8 @@
   EXPECT_TRUE(filler.Add({"run-12345678901234567890", 63, chunk}));
 }
 
-// Bounds counted in advance hold for what is stored: a job's record in any
-// state, and a chunk's while its tasks end in any order.
+// Size bounds computed in advance hold for what is stored: a job's record in
+// any state, and a chunk's entry while its tasks end in any order.
 TEST(Records, SizesAreBoundedInAdvance) {
   JobRecord job;
   job.spec = *DecodeSubmission(Submission()).value;
@@ -439,8 +443,8 @@
   EXPECT_EQ(PeerHeartbeatSize({}), 8u);
 }
 
-// A platform's answer that cannot be read is no answer: whether the request was
-// carried out is unknown.
+// An unreadable answer counts as no answer: whether the request was carried out
+// is unknown.
 TEST(StateReplies, UnreadableOnesCountAsNone) {
   EXPECT_EQ(DecodeState(Transaction{}, 200, "").status, 0);
   EXPECT_EQ(DecodeState(WatchRead{}, 200, "\xc1").status, 0);
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -1,6 +1,5 @@
-// The pieces of the core by themselves: what proves a task to be gone, what a
-// worker is told, what the state cache makes of changes, who has to make
-// capacity.
+// Tests single functions and classes of src/core: outcomes of attempts, worker
+// commands, the state cache, segments, order, preemption, demand and placement.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -57,7 +56,7 @@
           SegmentRecord{{{id, chunk, std::move(record)}}}, mod_revision};
 }
 
-// ---- Proofs ----
+// ---- Outcomes of attempts ----
 
 class AttemptProof : public ::testing::Test {
  protected:
@@ -110,8 +109,8 @@
   EXPECT_EQ(Ask(false), AttemptOutcome::kGone);
 }
 
-// In an agent epoch that ended the try may have run: it must not be started
-// again.
+// The attempt may have run in the agent epoch that ended, so it must not be
+// started again.
 TEST_F(AttemptProof, ANewAgentEpochEndsWhatWasStartedBefore) {
   task_.start_sent = HeartbeatId{1, 9};
   EXPECT_EQ(Ask(true), AttemptOutcome::kGone);
@@ -136,11 +135,11 @@
   EXPECT_EQ(Ask(), AttemptOutcome::kBound);
 }
 
-// ---- Orders ----
+// ---- Worker commands ----
 
 TEST_F(AttemptProof, CommandsFollowWhatIsStored) {
   machine_.bound[{"run-1", 0}] = task_;
-  Reported(TaskState::kRunning, ExitCause::kNone, 2);  // a try of the past
+  Reported(TaskState::kRunning, ExitCause::kNone, 2);  // an earlier attempt
   machine_.heartbeat->tasks.push_back(
       {"run-9", 1, 1, TaskState::kExited, ExitCause::kDone});
   auto yes = [](const BoundAttempt&) { return true; };
@@ -172,8 +171,8 @@
     std::vector<WorkerCommand> commands = BuildCommands(machine_, policy);
     return commands.size() == 1 ? commands[0].grace : Duration(-1);
   };
-  EXPECT_EQ(grace(88), Seconds(6));   // 12 s since the start
-  EXPECT_EQ(grace(97), Duration(0));  // 3 s
+  EXPECT_EQ(grace(88), Seconds(6));   // 12 s of work since the start
+  EXPECT_EQ(grace(97), Duration(0));  // 3 s of work
   EXPECT_EQ(grace(57), Duration(0));  // 3 s since its second checkpoint
   task_.stop_without_saving = true;
   EXPECT_EQ(grace(88), Duration(0));
@@ -199,8 +198,8 @@
   EXPECT_EQ(state_cache.FindJob("run-1")->record.state, JobState::kCancelled);
 }
 
-// Our own deletion is applied before a reading shows it; the reading on its way
-// still has the key's earlier values.
+// The cache applies this process's own deletion before a read shows it. A read
+// that is already under way still returns earlier values of the key.
 TEST(StateCache, ADeletedKeyDoesNotComeBack) {
   StateCache state_cache;
   Change put{keys::InstanceRequest("r-1"), InstanceRequestRecord{"g8", "a"}, 4};
@@ -213,9 +212,10 @@
   EXPECT_EQ(state_cache.instance_requests().size(), 1u);
 }
 
-// The segments of a list come in the order of their keys: an older version must
-// not bind tasks again that a newer one has freed, nor may what the job's tasks
-// need be forgotten before all have been read (a quota would be miscounted).
+// A list returns segments in the order of their keys, not of their revisions.
+// An older version must not bind tasks again that a newer one has released, and
+// what the job's tasks need must be kept until all segments have been read, or
+// a quota would be miscounted.
 TEST(StateCache, OlderSegmentsOfAJobThatIsOverAreReadAfterNewerOnes) {
   StateCache state_cache;
   state_cache.Apply(JobChange(Spec("run-1", 8, 1), 9, JobState::kCancelled));
@@ -232,8 +232,8 @@
   EXPECT_TRUE(state_cache.FindJob("run-1")->chunks.empty());
 }
 
-// The old owner may copy its last version forward after the new one has started
-// tasks of the chunk.
+// The previous owner of a chunk may copy its last version forward after the new
+// owner has started tasks of the chunk.
 TEST(StateCache, AChunkThatWasGivenAwayStaysWithItsNewOwner) {
   StateCache state_cache;
   state_cache.Apply(JobChange(Spec("run-1", 8, 1), 1));
@@ -265,7 +265,8 @@
   EXPECT_EQ(state_cache.FindJob("run-1")->FindChunk(0)->mod_revision, 2u);
 }
 
-// Counted from scratch after every step of a random history.
+// Compares the counts of the cache with a recount after every change of a
+// random history.
 TEST(StateCache, CountsMatchAPlainCount) {
   std::mt19937 random(9);
   StateCache state_cache;
@@ -302,10 +303,11 @@
   }
 }
 
-// ---- Reading the state service ----
+// ---- Reads of the state service ----
 
-// A list of many pages goes on where a page failed. Begun anew each time it
-// would never end while the state service refuses one request in three.
+// If a page of a long list fails, the watcher asks for that page again. If it
+// began the list anew each time, the list would never end while the state
+// service refuses one request in three.
 TEST(StateWatcher, GoesOnWithTheListWhereItFailed) {
   Tuning tuning;
   Outbox out;
@@ -348,12 +350,14 @@
     EXPECT_EQ(asked[page], page == 0 ? "" : key(page - 1));
     EXPECT_NE(state_cache.FindJob("run-" + std::to_string(page)), nullptr);
   }
-  // What came between the pages is read again, from the first page on.
+  // The watch starts at the revision of the first page, so that changes made
+  // between the pages are read too.
   EXPECT_EQ(state_cache.revision(), 100u);
 }
 
-// The stored number of partitions contradicts the setting: said once, with the
-// remedy, since what lies in the other partitions would be left alone for ever.
+// If more partitions are stored than the setting names, the machines and tasks
+// of the others would never be served. The controller logs this once, with the
+// remedy.
 TEST(Controller, NamesStoredPartitionsThatTheSettingLeavesOut) {
   Deployment deployment;
   deployment.label = "node-0";
@@ -411,8 +415,8 @@
 
 // ---- Segments ----
 
-// Random changes through a small ring, read back from the segments alone after
-// every write: a plain map of the newest versions says what must be there.
+// Writes random changes to a small ring and reads all segments back after every
+// write. Every chunk must have its newest version, which a plain map records.
 TEST(Segments, NothingIsLostAsTheRingIsOverwritten) {
   std::mt19937 random(11);
   constexpr size_t kBytes = 2000;
@@ -466,9 +470,9 @@
   EXPECT_EQ(stored.size(), kMinSlots);
 }
 
-// A partition whose machines hold far more tasks than the ring's first slots
-// can say: every change still finds capacity, ends too, and as little is copied
-// forward as in a ring with capacity to spare.
+// A partition whose tasks need far more space than the first slots of the ring
+// have: every change must fit, including the ends of tasks, and no more may be
+// copied forward than in a ring with space to spare.
 TEST(Segments, TheRingGrowsWithWhatItHolds) {
   constexpr size_t kBytes = 2000;
   constexpr uint32_t kJobs = 800;
@@ -507,9 +511,9 @@
   EXPECT_EQ(state_cache.LiveBytes(0), kJobs * 40);
 }
 
-// A ring that was filled when values were eight times as large: every change
-// finds capacity under the smaller limits, nothing is lost, and slots are
-// overwritten again once they hold little.
+// A ring whose slots were filled when the value limit was eight times as large:
+// under the smaller limit every change must still fit, nothing may be lost, and
+// slots must be overwritten again once they hold little.
 TEST(Segments, LargerSegmentsAreEmptiedInSteps) {
   constexpr uint32_t kJobsInSlot = 40;
   constexpr SegmentLimits kSmall{1800, 50000, 4};
@@ -584,7 +588,7 @@
   EXPECT_FALSE(PlanSegments(state_cache, 0, changed, {4000, 4500, 8}));
 }
 
-// ---- Order, room, preemption ----
+// ---- Order, preemption, demand, placement ----
 
 Deployment OneTeam(double guaranteed, double limit) {
   Deployment d;
@@ -631,8 +635,8 @@
   return order;
 }
 
-// Three jobs of which two can be on time: by due time alone all but the first
-// would be late.
+// Two of three jobs can meet their deadlines. In the order of the deadlines
+// alone, all but the first would be late.
 TEST(OrderJobs, TheOneWithTheMostWorkStepsBackWhenNotAllCanBeOnTime) {
   StateCache state_cache;
   Deployment d = OneTeam(0, 10);
@@ -641,12 +645,12 @@
     spec.deadline = Seconds(due);
     state_cache.Apply(JobChange(spec, 1));
   };
-  add("run-1", 40, 45);  // 40 s
+  add("run-1", 40, 45);  // takes 40 s
   add("run-2", 20, 50);
   add("run-3", 20, 55);
   EXPECT_EQ(OrderAt(state_cache, 0, d),
             (std::vector<std::string>{"run-2", "run-3", "run-1"}));
-  // With twice the room all can.
+  // With twice the limit all can.
   d = OneTeam(0, 20);
   EXPECT_EQ(OrderAt(state_cache, 0, d),
             (std::vector<std::string>{"run-1", "run-2", "run-3"}));
@@ -666,7 +670,8 @@
   using WorkerCommand = std::vector<std::string>;
   EXPECT_EQ(OrderAt(state_cache, 100, d), (WorkerCommand{"run-2", "run-1"}));
   EXPECT_EQ(OrderAt(state_cache, 151, d), (WorkerCommand{"run-1", "run-2"}));
-  // Once it has begun it takes its turn again.
+  // Once one of its tasks has started, the job is ordered by its priority
+  // again.
   state_cache.Apply(ChunkChange("run-1", 0, 3, {{0, 1, "m-1", "a"}}));
   EXPECT_EQ(OrderAt(state_cache, 151, d), (WorkerCommand{"run-2", "run-1"}));
   EXPECT_EQ(AgedPriority(*state_cache.FindJob("run-1"), WallTime(Seconds(900))),
@@ -694,27 +699,30 @@
                             OrderJobs(state_cache, WallTime(), d), WallTime())
                   .empty());
   state_cache.Apply(JobChange(high, 5));
-  // 8 of 10 in use: one of the two high tasks fits, the other needs one stop.
+  // 8 of 10 processors are in use: one of the two tasks of high priority fits,
+  // the other one needs one stop.
   auto victims = ChooseVictims(
       state_cache, d, OrderJobs(state_cache, WallTime(), d), WallTime());
   ASSERT_EQ(victims.size(), 1u);
   EXPECT_EQ(victims.begin()->first.job, "run-1");
   EXPECT_EQ(victims.begin()->first.task, 2u);
   EXPECT_EQ(victims.begin()->second, StopKind::kSave);
-  // A class that may start a minute later can wait for the saving.
+  // If the class's tasks may start as late as 70 s after submission, there is
+  // time to save a checkpoint.
   d.objectives.push_back({"wait", "x", Seconds(70), 0.9});
   victims = ChooseVictims(state_cache, d, OrderJobs(state_cache, WallTime(), d),
                           WallTime());
   EXPECT_EQ(victims.begin()->second, StopKind::kSave);
-  // One that is to start within moments cannot.
+  // If they are to start within 5 s, there is not.
   d.objectives.push_back({"wait", "x", Seconds(5), 0.9});
   victims = ChooseVictims(state_cache, d, OrderJobs(state_cache, WallTime(), d),
                           WallTime());
   EXPECT_EQ(victims.begin()->second, StopKind::kAtOnce);
 }
 
-// What goes first because it has waited for long must not be stopped for what
-// it goes before: it would be started again at once, and so on for ever.
+// A job that comes first because it has waited long must not be stopped for one
+// that it comes before: it would be started again at once, and stopped again,
+// without end.
 TEST(Preemption, SparesWhatHasGrownOld) {
   StateCache state_cache;
   Deployment d = OneTeam(0, 4);
@@ -732,10 +740,10 @@
         .size();
   };
   EXPECT_EQ(victims(101), 1u);
-  EXPECT_EQ(victims(160), 0u);  // it has only just begun
+  EXPECT_EQ(victims(160), 0u);  // none of its tasks has completed yet
   state_cache.Apply(ChunkChange("run-1", 0, 4, {{1, 1, "m-1", "a"}}, 1));
   EXPECT_EQ(victims(160), 1u);
-  EXPECT_EQ(victims(430), 0u);  // by now as important as the other
+  EXPECT_EQ(victims(430), 0u);  // its aged priority equals the other's
 }
 
 TEST(Preemption, EqualPriorityMakesNoRoom) {
@@ -760,7 +768,7 @@
       MeasureDemand(state_cache, d, {}, WallTime(), 3, std::nullopt);
   EXPECT_EQ(demand.waiting, 3u);
   EXPECT_EQ(demand.requested.cpus, Resources::FromDecimal(9));
-  // A job that fails everywhere asks for nothing.
+  // A failing job requests nothing.
   EXPECT_EQ(
       MeasureDemand(state_cache, d, {"run-1"}, WallTime(), 3, std::nullopt)
           .waiting,
@@ -809,8 +817,9 @@
   EXPECT_FALSE(Allowed(spec, machine, ZoneUse{{{"a", 3}}, 3}));
 }
 
-// Starts travel in answers to heartbeats: with little time, the machine that
-// reports next counts, and not only the one that has the image.
+// A start is sent in the answer to a heartbeat. If a task is urgent, the time
+// until the machine's next heartbeat counts, not only whether the machine has
+// the image.
 TEST(Places, HurriedTasksGoWhereTheyStartSoonest) {
   Machine image_later;
   image_later.capacity = Resources::FromDecimals(8, 0, 32);
@@ -826,7 +835,8 @@
 }
 
 // Eight machines with three free processors each are of no use to a job whose
-// tasks take four: small tasks fill what is in pieces first.
+// tasks need four. Small tasks therefore go first to machines on which no
+// larger task fits.
 TEST(Places, SmallTasksLeaveSlotsForLargerOnes) {
   Machine whole;
   whole.capacity = Resources::FromDecimals(8, 0, 32);
@@ -842,8 +852,9 @@
   EXPECT_EQ(ChooseMachine(spec, 1, {}, machines, {}, false, four), &pieces);
 }
 
-// Work is only sent where its tasks fit: not to many machines with a little
-// room each, nor to spot machines that it may not use.
+// Jobs are sent only to partitions in which whole tasks fit: not to one with
+// many machines that have a few processors free each, nor to one with only spot
+// machines that the job may not use.
 TEST(CapacityTable, CountsWholeTasks) {
   SteadyTime now{Seconds(10)};
   auto cpus = [](double n) { return Resources::FromDecimal(n); };
@@ -870,7 +881,7 @@
   EXPECT_EQ(book.Tasks(0, small, now + Seconds(3)), 0);
 }
 
-// Accepted, its record could never be stored.
+// If such a job were accepted, its record could never be stored.
 TEST(WhyImpossible, NamesADescriptionThatIsTooLong) {
   Deployment d = OneTeam(0, 0);
   constexpr size_t kValueBytes = 8192;
--- a/tests/free_capacity_test.cc
+++ b/tests/free_capacity_test.cc
@@ -1,4 +1,4 @@
-// Free capacity by the size of tasks, and the table of all partitions.
+// Tests the free capacity by size of tasks and the table of all partitions.
 #include "core/model/free_capacity.h"
 
 #include <gtest/gtest.h>
--- a/tests/golden_records_test.cc
+++ b/tests/golden_records_test.cc
@@ -1,9 +1,10 @@
-// The stored form of every record and of a peer heartbeat, byte by byte.
+// Tests the encoding of every record and of a peer heartbeat byte by byte.
 //
 // Controllers of different versions read each other's records and heartbeats
 // during an upgrade, and a new version reads all that an older one stored. The
-// bytes below were written by version 0.1.0 (commit fee6cab); if this test
-// fails, that compatibility is broken. Never replace the bytes to make it pass.
+// bytes below were written by version 0.1.0 (commit fee6cab). A failure of
+// these tests means that this compatibility is broken. Never replace the bytes
+// to make a test pass.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -23,7 +24,7 @@
 namespace pitchfall::wire {
 namespace {
 
-// ---- The values, with all fields set ----
+// ---- Values, with all fields set ----
 
 JobRecord GoldenJob() {
   JobRecord job;
@@ -50,7 +51,7 @@
   job.chunk_size = 16;
   job.home = 5;
   job.spread_over = 2;
-  // Two runs of one owner each.
+  // Encoded as two runs, each of one owner.
   job.owners = {{1, 0}, {1, 0}, {300, 70000}};
   return job;
 }
@@ -62,7 +63,7 @@
   AddTask(bound.done, 16);
   AddTask(bound.done, 17);
   AddTask(bound.done, 31);
-  // By machine, zone and attempt, as they are read back.
+  // Sorted by machine, zone and attempt, the order in which they are decoded.
   bound.assigned = {{18, 299, "m-1", "zone-a"},
                     {19, 299, "m-1", "zone-a"},
                     {20, 300, "m-1", "zone-a"},
@@ -154,7 +155,7 @@
   return heartbeat;
 }
 
-// ---- Their bytes ----
+// ---- Encoded bytes ----
 
 constexpr std::string_view kJobHex =
     "de0019a26964aa72756e2d303030343132a5636c617373a5747261696ea47465"
@@ -257,7 +258,7 @@
 
 struct GoldenRecord {
   std::string name;
-  std::string key;  // under which the state service holds it
+  std::string key;  // of the record in the state service
   Record value;
   std::string_view hex;
 };
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -1,4 +1,4 @@
-// The address for users and workers, over loopback sockets.
+// Tests the HTTP server for users and workers over loopback sockets.
 #include "io/http_server.h"
 
 #include <arpa/inet.h>
@@ -19,7 +19,7 @@
   static constexpr size_t kMaxNumber = 3;
 
   HttpServerTest() : base_(event_base_new()) {
-    // A port that nobody else has: bound by the kernel's choice, then let go.
+    // Finds a free port: the kernel chooses one, and the probe releases it.
     int probe = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in sin = ToSockaddr({"127.0.0.1", 1});
     sin.sin_port = 0;
@@ -58,8 +58,8 @@
       event_base_loop(base_.get(), EVLOOP_NONBLOCK);
     }
   }
-  // What has come on the connection after so many turns of the loop; a closed
-  // one ends in "<closed>".
+  // Runs the event loop a fixed number of turns and returns what the server has
+  // sent on the connection. "<closed>" is appended if the server has closed it.
   std::string Read(int fd) {
     std::string text;
     for (int turn = 0; turn < 50; ++turn) {
@@ -79,8 +79,8 @@
   std::vector<int> sockets_;
 };
 
-// The sockets beyond are for the process's own calls: without them it could not
-// reach the state service any more.
+// The other sockets are reserved for the process's own calls. Without them it
+// could no longer reach the state service.
 TEST_F(HttpServerTest, TurnsAwayMoreConnectionsThanItHasSocketsFor) {
   for (size_t i = 0; i < kMaxNumber; ++i) {
     int fd = Connect();
@@ -94,13 +94,13 @@
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 503")) << answer;
   EXPECT_NE(answer.find("Retry-After: 2"), std::string::npos) << answer;
   EXPECT_TRUE(answer.ends_with("<closed>")) << answer;
-  // Whether it is alive is always answered.
+  // A health check is answered even then.
   int probe = Connect();
   Get(probe, "/healthz");
   EXPECT_TRUE(Read(probe).starts_with("HTTP/1.1 200"));
   close(probe);
   sockets_.pop_back();
-  // One that has gone leaves its place to the next.
+  // A connection that has closed makes room for the next.
   http_server_->Answer({held_.front(), 404, Problem{"none"}, {}});
   EXPECT_TRUE(Read(sockets_.front()).starts_with("HTTP/1.1 404"));
   close(sockets_.front());
@@ -112,8 +112,8 @@
   EXPECT_EQ(held_.size(), kMaxNumber + 1);
 }
 
-// However a connection ends, its place is free again: closed by the client
-// before, while or after its request is answered, or by this side.
+// A connection must free its slot however it ends: closed by the client before,
+// while or after its request is answered, or closed by the server.
 TEST_F(HttpServerTest, EveryEndOfAConnectionFreesItsPlace) {
   for (int round = 0; round < 40; ++round) {
     int fd = Connect();
--- a/tests/jobs_test.cc
+++ b/tests/jobs_test.cc
@@ -1,5 +1,6 @@
-// Submissions, queries and cancellations: each class by itself, with a state
-// cache, a state watcher and budgets, and the test as the state service.
+// Tests the classes behind submissions, queries and cancellations, each with a
+// state cache, a state watcher and rate budgets. The test takes the place of
+// the state service.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -53,7 +54,8 @@
   return deployment;
 }
 
-// What the classes need, loaded from an empty state service.
+// The environment of the classes, with a state cache loaded from an empty state
+// service.
 class JobsTest : public ::testing::Test {
  protected:
   JobsTest() {
@@ -192,7 +194,7 @@
   }
 }
 
-// An array's tasks can run one after another within the team's limit.
+// The tasks of an array can run one after another within the team's limit.
 TEST(WhyImpossible, AcceptsAnArrayThatExceedsTheTeamsLimitAtOnce) {
   EXPECT_FALSE(WhyImpossible(ArrayJob(kJob, 100, 4), TestDeployment(),
                              OneType(), kValueBytes));
@@ -251,7 +253,7 @@
 
 TEST_F(JobQueriesTest, RefusesAQueryThatWaitsLongerThanItsClient) {
   queries_.Answer(1, kJob, TaskCounts::kInclude);
-  queries_.Step();  // waits for a read that does not begin
+  queries_.Step();  // the query waits for a read that does not begin
   queries_.Answer(2, kJob, TaskCounts::kInclude);
   Advance(Millis(1499));
   queries_.Step();
@@ -273,7 +275,8 @@
 
 class JobAdmissionTest : public JobsTest {
  protected:
-  // `partition` has so many free processors in slots of every size.
+  // Announces that `partition` has `cpus` free processors in slots of every
+  // size.
   void SetFree(uint32_t partition, double cpus) {
     FreeCapacity free;
     free.any.fill(Resources::FromDecimal(cpus));
@@ -349,7 +352,7 @@
   EXPECT_EQ(admission_.FirstRecord(service).home, home);
 }
 
-// ---- The queue of changes ----
+// ---- Queue of changes ----
 
 using JobChangeQueueTest = JobsTest;
 
@@ -420,7 +423,8 @@
   EXPECT_EQ(StatusOf(1), http_status::kCreated);
 }
 
-// The outcome is unknown; the client's next submission finds out.
+// Without an answer the outcome is unknown. The client's next submission of the
+// job finds it out.
 TEST_F(JobChangeQueueTest, RefusesWhenTheStateServiceDoesNotAnswer) {
   queue_.Submit(1, ArrayJob(kJob));
   queue_.Step();
@@ -442,7 +446,8 @@
 
 TEST_F(JobChangeQueueTest, RefusesWhatWaitsTooLong) {
   writes_.SetRate(0, 0);
-  writes_.Take(now_.steady, 2, -2);  // as far below zero as submissions go
+  // As far below zero as a submission may take the budget.
+  writes_.Take(now_.steady, 2, -2);
   queue_.Submit(1, ArrayJob(kJob));
   Advance(Millis(2499));
   queue_.Step();
@@ -450,11 +455,11 @@
   Advance(Millis(1));
   queue_.Step();
   EXPECT_EQ(StatusOf(1), http_status::kServiceUnavailable);
-  EXPECT_EQ(RetryAfterOf(1),
-            Seconds(2));  // one change at half a change a second
+  // One change is waiting, and half a change is stored per second.
+  EXPECT_EQ(RetryAfterOf(1), Seconds(2));
 }
 
-// Starts of tasks would otherwise use up the write budget for good.
+// Otherwise the starts of tasks could use up the write budget for ever.
 TEST_F(JobChangeQueueTest, ASubmissionTakesAWriteInAdvanceAfterAWhile) {
   writes_.SetRate(0, 0);
   queue_.Submit(1, ArrayJob(kJob));
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -1,6 +1,6 @@
-// The components by which controllers know of each other, each by itself:
-// registration, ownership of partitions, heartbeats, shared rates, misrouted
-// workers.
+// Tests the components by which controllers know of each other, each alone:
+// registration, ownership of partitions, heartbeats between peers, shared rate
+// limits and misrouted workers.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -31,8 +31,8 @@
   return deployment;
 }
 
-// The surroundings of one component. The state cache is filled by hand; what
-// the component does is read from the outbox.
+// The environment of one component. Tests fill the state cache directly and
+// read what the component does from the outbox.
 class MembershipTest : public ::testing::Test {
  protected:
   MembershipTest()
@@ -65,8 +65,8 @@
     out_.set_now(now_);
   }
 
-  // A read that succeeds at once and finds nothing new. The first two load the
-  // state.
+  // Performs a read that succeeds at once and returns no changes. The first two
+  // such reads load the state.
   void ReadState() {
     Advance(Millis(500));
     state_watcher_.Step();
@@ -79,7 +79,8 @@
     ReadState();
   }
 
-  // Stores a record in the state cache; returns its modification revision.
+  // Stores a record in the state cache, or deletes the key if `value` is null,
+  // and returns the revision of the change.
   uint64_t Store(const std::string& key, std::optional<Record> value) {
     state_cache_.Apply(Change{key, std::move(value), ++last_revision_});
     return last_revision_;
@@ -101,7 +102,7 @@
     return Store(keys::Job(id), job);
   }
 
-  // The effects of one kind since the last call; all others are dropped.
+  // Returns the effects of type T since the last call and drops all others.
   template <typename T>
   std::vector<T> TakeAll() {
     std::vector<T> found;
@@ -184,7 +185,7 @@
   EXPECT_DOUBLE_EQ(limits_.requests().rate(), 40);
   EXPECT_DOUBLE_EQ(limits_.requests().Available(now), 0.7 * 40);
   EXPECT_DOUBLE_EQ(limits_.writes().Available(now), 0.7 * 0.8 * 15 / 2);
-  // However small the share, one token can be saved up.
+  // However small the share, one token can be accumulated.
   limits_.UpdateShares({RateUsage{55, 14}}, 100, false);
   EXPECT_DOUBLE_EQ(limits_.writes().Available(now), 1);
 }
@@ -275,7 +276,7 @@
   EXPECT_EQ(heartbeat->sent, now_.wall);
   EXPECT_EQ(heartbeat->sender_time, now_.steady);
   EXPECT_EQ(heartbeat->uptime, Seconds(3));
-  EXPECT_EQ(heartbeat->state_age, Seconds(3600));  // it was never read
+  EXPECT_EQ(heartbeat->state_age, Seconds(3600));  // the state was never read
   EXPECT_DOUBLE_EQ(heartbeat->requests, 7);
   EXPECT_DOUBLE_EQ(heartbeat->writes, 2);
   EXPECT_EQ(heartbeat->misrouted_workers, status.misrouted_workers);
@@ -311,8 +312,8 @@
   EXPECT_TRUE(sent->echoes.empty());
 }
 
-// An echo without all cancellations would let the peer go on with tasks of
-// cancelled jobs.
+// If the peer got an echo without all cancellations, it would go on running
+// tasks of cancelled jobs.
 TEST_F(PeersTest, DoesNotEchoAPeerThatIsTooFarBehind) {
   for (int i = 0; i < 501; ++i) StoreCancelledJob("job-" + std::to_string(i));
   PeerHeartbeat behind = HeartbeatFrom("node-1");
@@ -332,11 +333,11 @@
   LoadState();
   EXPECT_TRUE(peers_.Healthy());
   Advance(Millis(1200));
-  EXPECT_FALSE(peers_.Healthy());  // and hears nobody
+  EXPECT_FALSE(peers_.Healthy());  // and no peer is heard
   PeerHeartbeat heartbeat = HeartbeatFrom("node-1");
   heartbeat.state_age = Millis(1200);
   peers_.OnHeartbeat(heartbeat);
-  EXPECT_TRUE(peers_.Healthy());  // nobody can
+  EXPECT_TRUE(peers_.Healthy());  // no controller can read
   heartbeat = HeartbeatFrom("node-2");
   heartbeat.state_age = Millis(1199);
   peers_.OnHeartbeat(heartbeat);
@@ -365,7 +366,8 @@
   peers_.OnHeartbeat(heartbeat);
   EXPECT_EQ(peers_.FindMisroutedWorkers(0), std::nullopt);
   EXPECT_EQ(peers_.FindMisroutedWorkers(1), "node-2");
-  EXPECT_EQ(peers_.FindMisroutedWorkers(2), std::nullopt);  // not told of
+  // The heartbeat does not report this partition.
+  EXPECT_EQ(peers_.FindMisroutedWorkers(2), std::nullopt);
   heartbeat.label = "node-1";
   peers_.OnHeartbeat(heartbeat);
   EXPECT_EQ(peers_.FindMisroutedWorkers(1), "node-1");
@@ -381,7 +383,8 @@
  protected:
   struct Answer {
     int status = 0;
-    std::optional<std::string> owner;  // of a redirect
+    // Set only in a redirect; empty if the redirect names no owner.
+    std::optional<std::string> owner;
   };
 
   Answer HeartbeatOf(const std::string& machine, uint32_t partition,
@@ -412,7 +415,7 @@
   Answer answer = HeartbeatOf("m-1", 1);
   EXPECT_EQ(answer.status, 421);
   EXPECT_EQ(answer.owner, "node-1");
-  // What was read too long ago may be wrong by now.
+  // State that was read too long ago may be wrong by now.
   Advance(Seconds(2));
   EXPECT_EQ(HeartbeatOf("m-1", 1).status, 503);
 }
@@ -424,7 +427,7 @@
   EXPECT_EQ(HeartbeatOf("m-1", 1, fencing_token).owner, "node-1");
   EXPECT_EQ(HeartbeatOf("m-2", 1, fencing_token).owner, "node-1");
   EXPECT_EQ(HeartbeatOf("m-3", 1, fencing_token).owner, "");
-  // One that has never been with the owner may still reach it.
+  // A worker that was never served by this owner may still reach it.
   EXPECT_EQ(HeartbeatOf("m-4", 1, fencing_token - 1).owner, "node-1");
 }
 
@@ -455,12 +458,12 @@
   SteadyTime last_heard = now_.steady;
   Advance(Millis(3500));
   misrouted_.HandOverIfUnreachable(0, last_heard);
-  EXPECT_TRUE(TakeAll<StateCall>().empty());  // nobody hears its workers
+  EXPECT_TRUE(TakeAll<StateCall>().empty());  // no peer hears its workers
   PeerHeartbeat heartbeat = HeartbeatFrom("node-1");
   heartbeat.misrouted_workers = {1, 0, 0};
   peers_.OnHeartbeat(heartbeat);
   misrouted_.HandOverIfUnreachable(0, last_heard + Millis(1));
-  EXPECT_TRUE(TakeAll<StateCall>().empty());  // heard lately
+  EXPECT_TRUE(TakeAll<StateCall>().empty());  // heard too recently
   misrouted_.HandOverIfUnreachable(0, last_heard);
   std::vector<StateCall> calls = TakeAll<StateCall>();
   ASSERT_EQ(calls.size(), 1u);
@@ -477,7 +480,8 @@
 
 class NodeRegistrationTest : public MembershipTest {
  protected:
-  // The only call to the state service since the last check.
+  // Returns the call to the state service since the last check if there is
+  // exactly one, else null.
   std::optional<StateCall> TakeCall() {
     std::vector<StateCall> calls = TakeAll<StateCall>();
     if (calls.size() != 1) return {};
@@ -529,7 +533,8 @@
   EXPECT_TRUE(std::holds_alternative<Grant>(call->request));
 }
 
-// Without the lease the partitions would go to others.
+// Without the lease, other controllers would take over this controller's
+// partitions.
 TEST_F(NodeRegistrationTest, KeepsTheLeaseWhenTheBudgetIsUsedUp) {
   requests_.TakeOnCredit(now_.steady, 5000);
   registration_.KeepLease();
@@ -565,7 +570,8 @@
 
 class OwnershipTest : public MembershipTest {
  protected:
-  // The change of owner that the step sends, of the partition it is for.
+  // Runs the component once. Returns the change of the owner of `partition`
+  // that it sends, or null if it sends none.
   std::optional<Transaction> StepAndTakeChangeOf(uint32_t partition) {
     ownership_.Step();
     for (StateCall& call : TakeAll<StateCall>()) {
@@ -596,7 +602,8 @@
   EXPECT_EQ(change->conditions[0].mod_revision, dead);
   EXPECT_EQ(change->conditions[1].key, keys::Node("node-1", "earlier"));
   EXPECT_EQ(change->conditions[1].mod_revision, 0u);
-  // Partition 2 is node-2's to take first, within a second and a half.
+  // node-2 is the preferred owner of partition 2. Other controllers leave it
+  // the partition for 1.5 s.
   Advance(Millis(1499));
   EXPECT_FALSE(StepAndTakeChangeOf(2));
   Advance(Millis(1));
--- a/tests/segments_test.cc
+++ b/tests/segments_test.cc
@@ -1,4 +1,5 @@
-// How large segments are counted in advance, and how a full ring is extended.
+// Tests how the size of segments is bounded in advance and how a full ring is
+// extended.
 #include "core/state/segments.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,8 @@
 namespace pitchfall {
 namespace {
 
-// Chunk 0 of a job, with each of its tasks bound to a machine of its own.
+// Returns chunk 0 of a job whose first `tasks` tasks are bound, each to a
+// machine of its own.
 SegmentRecord::Entry EntryWithTasks(const std::string& job, uint32_t tasks) {
   ChunkRecord chunk;
   for (uint32_t task = 0; task < tasks; ++task) {
@@ -29,7 +31,8 @@
   return jobs;
 }
 
-// Stores segments in a state cache, one revision after the other.
+// Stores segments and their jobs in a state cache, each at a revision of its
+// own.
 class SegmentsTest : public ::testing::Test {
  protected:
   void Store(uint32_t slot, const SegmentRecord& segment) {
@@ -65,7 +68,8 @@
   size_t first = filler.size() - empty;
   filler.Add(EntryWithTasks("b", 5));
   size_t second = filler.size() - empty - first;
-  // Five machines: name, zone and eight bytes each.
+  // The five machines are counted in the first entry only, with name, zone and
+  // 8 bytes each.
   EXPECT_EQ(first - second, 5 * (3 + 6 + 8));
 }
 
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -1,4 +1,5 @@
-// Both settings files: what is accepted, and what is said about the rest.
+// Tests the deployment file and the tuning file: what is accepted, and the
+// error message for the rest.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -71,7 +72,7 @@
   EXPECT_EQ(d.objectives[0].within, Seconds(70));
 }
 
-// An objective on work within a guarantee names no class.
+// An objective for work within a team's guarantee names no class.
 TEST(DeploymentFile, TakesAnObjectiveForAllClasses) {
   Deployment d = ParseDeployment(Replaced("class = \"x\"\n", ""), "node.toml");
   ASSERT_EQ(d.objectives.size(), 1u);
@@ -80,9 +81,9 @@
             "node.toml: cluster.objectives[0].class must not be empty");
 }
 
-// Limits that are announced for later apply from the start; those that the
-// platform does not mention stay as they are, and names that are not known here
-// are ignored.
+// Announced limits apply from the start if they are stricter than the present
+// ones. Limits that the announcement does not name stay as they are, and
+// unknown names are ignored.
 TEST(DeploymentFile, ReadsAnnouncedLimitsOfTheStateService) {
   Deployment d = ParseDeployment(kGood, "node.toml");
   EXPECT_FALSE(d.state_next);
@@ -112,7 +113,9 @@
             "node.toml: cluster.workers.cancel_s must be more than lease_s");
   EXPECT_EQ(Why(Replaced("cpus = 0.1", "cpus = -4")),
             "node.toml: cluster.teams[0].cpus must be from 0 to 1000000000");
-  // Limits that cannot work: no value for a record, no socket beyond the peers.
+  // Limits under which the program cannot work: a value too small for any
+  // record, a transaction too small for a change, no sockets beyond those for
+  // the peers.
   EXPECT_EQ(Why(Replaced("value_kb = 8.0", "value_kb = 1.9")),
             "node.toml: cluster.state.value_kb must be from 2 to 1000000000");
   EXPECT_EQ(Why(Replaced("txn_ops = 8", "txn_ops = 1")),
--- a/tests/state_cache_test.cc
+++ b/tests/state_cache_test.cc
@@ -1,4 +1,5 @@
-// The parts of the state cache, each alone, and the cache as a whole.
+// Tests the components of the state cache, each alone, and the cache as a
+// whole.
 #include "core/state/state_cache.h"
 
 #include <gtest/gtest.h>
@@ -34,7 +35,8 @@
   return job;
 }
 
-// A segment with one chunk, chunk 0 of job "a", that binds this many tasks.
+// Returns a segment with one chunk, chunk 0 of job "a", that binds the first
+// `bound_tasks` tasks to a machine.
 SegmentRecord SegmentOfA(uint32_t epoch, uint32_t bound_tasks) {
   ChunkRecord chunk;
   chunk.epoch = epoch;
@@ -44,7 +46,7 @@
   return {{{"a", 0, chunk}}};
 }
 
-// Notes how many chunks come, change and are removed.
+// Counts how many chunks are added, changed and removed.
 class CountingListener : public ChunkListener {
  public:
   void OnChunk(const Job& /*job*/, uint32_t /*chunk*/, const Job::Chunk* before,
@@ -242,7 +244,7 @@
   StateCache cache;
   std::string key = keys::InstanceRequest("r");
   cache.Apply(Put(key, InstanceRequestRecord{}, 5));
-  cache.Apply(Deletion(key, 8));  // this process's own
+  cache.Apply(Deletion(key, 8));  // made by this process
   cache.Apply(Put(key, InstanceRequestRecord{}, 6));
   EXPECT_TRUE(cache.instance_requests().empty());
   cache.AdvanceTo(8);
@@ -286,7 +288,7 @@
   EXPECT_EQ(listener.arrived, 2);
   EXPECT_EQ(cache.FindJob("a")->assigned, 1u);
   cache.Apply(Put(keys::Segment(0, 1), SegmentOfA(0, 3), 13));
-  EXPECT_EQ(listener.changed, 1);  // it is still told
+  EXPECT_EQ(listener.changed, 1);  // the listener stays registered
 }
 
 }  // namespace
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -1,4 +1,4 @@
-// The bounds of writes to the state service after refusals and successes.
+// Tests the limits on writes to the state service after refusals and successes.
 #include "core/state/state_limits.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace pitchfall {
 namespace {
 
-// Limits of the service as a deployment announces them.
+// Returns the limits for a state service with these announced limits.
 StateLimits LimitsOf(double value_kb, uint32_t operations) {
   Deployment deployment;
   deployment.state.value_kb = value_kb;
--- a/tests/state_watcher_test.cc
+++ b/tests/state_watcher_test.cc
@@ -1,4 +1,4 @@
-// The state watcher alone, with each reply given by the test.
+// Tests the state watcher alone. The test answers each of its reads.
 #include "core/state/state_watcher.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     outbox_.set_now(now_);
   }
 
-  // The read that a step starts now, if it starts one.
+  // Runs the watcher once and returns the read that it starts, if any.
   std::optional<StateCall> Step() {
     watcher_.Step();
     for (const Effect& effect : outbox_.TakeEffects()) {
@@ -34,7 +34,7 @@
     return std::nullopt;
   }
 
-  // The next read, however long the watcher waits for it.
+  // Lets time pass until the watcher starts its next read, and returns it.
   StateCall NextRead() {
     std::optional<StateCall> call = Step();
     while (!call) {
@@ -52,7 +52,7 @@
     outbox_.Handle(reply);
   }
 
-  // Answers the list and the watch read after it.
+  // Answers the list and the first watch read after it.
   void Load() {
     Answer(NextRead(), 200, 100);
     Answer(NextRead(), 200, 100);
@@ -122,7 +122,7 @@
   watcher_.RequestRead();
   std::optional<StateCall> requested = Step();
   ASSERT_TRUE(requested);
-  EXPECT_FALSE(Step());  // one at a time
+  EXPECT_FALSE(Step());  // only one read at a time
   Answer(*requested, 200, 102);
   AdvanceTime(Millis(200));
   EXPECT_TRUE(Step());
