--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -31,8 +31,8 @@
 const Offer kSmallOrdinary{"small", "a", false};
 const Offer kSmallSpot{"small", "a", true};
 
-MachineType Type(const std::string& name, double cpus, double price,
-                 std::vector<std::string> zones) {
+MachineType MakeType(const std::string& name, double cpus, double price,
+                     std::vector<std::string> zones) {
   MachineType type;
   type.name = name;
   type.capacity = Resources::FromDecimals(cpus, 0, cpus);
@@ -46,28 +46,29 @@
 // The environment of one component: a state cache, rate budgets that do not run
 // out, a clock that the test advances, and the calls that the component has
 // made.
-class AutoscalerPartTest : public ::testing::Test {
+class AutoscalerComponentTest : public ::testing::Test {
  protected:
-  AutoscalerPartTest()
+  AutoscalerComponentTest()
       : limits_(deployment_),
-        watcher_(tuning_, out_, cache_, requests_),
-        writer_(out_, tuning_, requests_, writes_, watcher_, kFencingToken),
-        types_(out_, tuning_, cache_, cloud_, writer_),
-        inventory_(out_, deployment_, tuning_, cache_, types_, cloud_),
-        instance_requests_(out_, deployment_, tuning_, cache_, limits_, cloud_,
-                           writer_, inventory_, kFencingToken),
+        watcher_(tuning_, outbox_, cache_, requests_),
+        writer_(outbox_, tuning_, requests_, writes_, watcher_, kFencingToken),
+        types_(outbox_, tuning_, cache_, cloud_, writer_),
+        inventory_(outbox_, deployment_, tuning_, cache_, types_, cloud_),
+        instance_requests_(outbox_, deployment_, tuning_, cache_, limits_,
+                           cloud_, writer_, inventory_, kFencingToken),
         scale_out_(cache_, types_, inventory_, instance_requests_),
-        scale_in_(out_, tuning_, cache_, limits_, types_, inventory_, writer_),
-        history_(out_, tuning_, cache_, limits_, types_, writer_) {
-    out_.set_now(now_);
-    Apply(keys::kTypes, TypesRecord{{Type("small", 4, 1, {"a", "b"}),
-                                     Type("large", 16, 4, {"a", "b"})}});
+        scale_in_(outbox_, tuning_, cache_, limits_, types_, inventory_,
+                  writer_),
+        history_(outbox_, tuning_, cache_, limits_, types_, writer_) {
+    outbox_.set_now(now_);
+    Apply(keys::kTypes, TypesRecord{{MakeType("small", 4, 1, {"a", "b"}),
+                                     MakeType("large", 16, 4, {"a", "b"})}});
   }
 
   void Advance(Duration by) {
     now_.steady += by;
     now_.wall += by;
-    out_.set_now(now_);
+    outbox_.set_now(now_);
   }
 
   void Apply(const std::string& key, std::optional<Record> value) {
@@ -85,10 +86,10 @@
   }
 
   // Replaces the collected calls by those made since the last time.
-  void Collect() {
+  void CollectCalls() {
     state_calls_.clear();
     cloud_calls_.clear();
-    for (Effect& effect : out_.TakeEffects()) {
+    for (Effect& effect : outbox_.TakeEffects()) {
       if (auto* state = std::get_if<StateCall>(&effect)) {
         state_calls_.push_back(std::move(*state));
       } else if (auto* cloud = std::get_if<CloudCall>(&effect)) {
@@ -104,36 +105,37 @@
     return std::get<T>(*StoredTransaction().writes.at(index).value);
   }
   template <typename T>
-  const T& Asked(size_t index = 0) const {
+  const T& SentCloudRequest(size_t index = 0) const {
     return std::get<T>(cloud_calls_.at(index).request);
   }
   void AnswerCloud(CloudReply reply) {
     reply.call = cloud_calls_.at(0).call;
-    out_.Handle(reply);
-    Collect();
+    outbox_.Handle(reply);
+    CollectCalls();
   }
   void AnswerState(int status) {
     StateReply reply;
     reply.call = state_calls_.at(0).call;
     reply.status = status;
     reply.revision = revision_;
-    out_.Handle(reply);
-    Collect();
+    outbox_.Handle(reply);
+    CollectCalls();
   }
 
   // Lets 10 s pass and the inventory read a list with these machines in one
   // page.
-  void List(std::vector<ListedMachine> listed) {
+  void ReadInstanceList(std::vector<ListedMachine> listed) {
     Advance(Seconds(10));
     inventory_.ListIfDue();
-    Collect();
+    CollectCalls();
     CloudReply reply;
     reply.status = 200;
     reply.listed = std::move(listed);
     AnswerCloud(std::move(reply));
   }
-  static ListedMachine Machine(const std::string& name, const Offer& offer,
-                               Duration age = Seconds(1000)) {
+  static ListedMachine MakeListedMachine(const std::string& name,
+                                         const Offer& offer,
+                                         Duration age = Seconds(1000)) {
     ListedMachine machine;
     machine.name = name;
     machine.type = offer.type;
@@ -144,7 +146,7 @@
     return machine;
   }
 
-  static JobSpec Spec(const std::string& id, double cpus) {
+  static JobSpec MakeSpec(const std::string& id, double cpus) {
     JobSpec spec;
     spec.id = id;
     spec.tasks = 4;
@@ -162,7 +164,7 @@
   Now now_{SteadyTime(Seconds(10000)), WallTime(Seconds(10000))};
   Deployment deployment_;
   Tuning tuning_;
-  Outbox out_;
+  Outbox outbox_;
   StateCache cache_;
   StateLimits limits_;
   TokenBucket requests_{1000, 1000};
@@ -197,13 +199,13 @@
 
 // ---- Transactions ----
 
-using LeaderStateWriterTest = AutoscalerPartTest;
+using LeaderStateWriterTest = AutoscalerComponentTest;
 
 TEST_F(LeaderStateWriterTest, EveryTransactionRequiresTheFencingToken) {
   Transaction transaction;
   transaction.conditions.push_back({keys::kDrain, 7});
   writer_.Write(std::move(transaction), [](const StateReply&) {});
-  Collect();
+  CollectCalls();
   ASSERT_THAT(StoredTransaction().conditions, SizeIs(2));
   EXPECT_EQ(StoredTransaction().conditions[1].key, keys::Partition(0));
   EXPECT_EQ(StoredTransaction().conditions[1].mod_revision, kFencingToken);
@@ -215,44 +217,44 @@
   Transaction transaction;
   transaction.writes.push_back({keys::kDrain, DrainRecord{}, 0});
   writer_.Write(std::move(transaction), [](const StateReply&) {});
-  Collect();
+  CollectCalls();
   EXPECT_THAT(state_calls_, SizeIs(1));
   EXPECT_LT(writes_.Available(now_.steady), 0);
 }
 
-TEST_F(LeaderStateWriterTest, IsWritingUntilAReadAfterTheAnswerHasEnded) {
+TEST_F(LeaderStateWriterTest, WriteIsPendingUntilAReadAfterTheAnswerHasEnded) {
   int status = 0;
   writer_.Write({}, [&](const StateReply& reply) { status = reply.status; });
   EXPECT_TRUE(writer_.write_pending());
-  Collect();
+  CollectCalls();
   AnswerState(503);
   EXPECT_EQ(status, 503);
   EXPECT_TRUE(writer_.write_pending());
   watcher_.Step();
-  Collect();
+  CollectCalls();
   AnswerState(200);
   EXPECT_FALSE(writer_.write_pending());
 }
 
 // ---- Machine types ----
 
-using MachineTypeCatalogTest = AutoscalerPartTest;
+using MachineTypeCatalogTest = AutoscalerComponentTest;
 
 TEST_F(MachineTypeCatalogTest, ChangedTypesAreStored) {
   types_.FetchIfDue();
   types_.FetchIfDue();  // one call at a time
-  Collect();
+  CollectCalls();
   ASSERT_THAT(cloud_calls_, SizeIs(1));
   CloudReply reply;
   reply.status = 200;
-  reply.types = {Type("new", 8, 2, {"a"})};
+  reply.types = {MakeType("new", 8, 2, {"a"})};
   AnswerCloud(reply);
   EXPECT_EQ(StoredRecord<TypesRecord>().types, reply.types);
 }
 
 TEST_F(MachineTypeCatalogTest, UnchangedTypesAreNotStored) {
   types_.FetchIfDue();
-  Collect();
+  CollectCalls();
   CloudReply reply;
   reply.status = 200;
   reply.types = cache_.types()->value.types;
@@ -262,15 +264,15 @@
 
 TEST_F(MachineTypeCatalogTest, AFailedFetchIsRetriedSoonerThanAGoodOne) {
   types_.FetchIfDue();
-  Collect();
+  CollectCalls();
   AnswerCloud({});
   Advance(Millis(999));
   types_.FetchIfDue();
-  Collect();
+  CollectCalls();
   EXPECT_THAT(cloud_calls_, IsEmpty());
   Advance(Millis(1));
   types_.FetchIfDue();
-  Collect();
+  CollectCalls();
   EXPECT_THAT(cloud_calls_, SizeIs(1));
 }
 
@@ -284,21 +286,21 @@
 }
 
 TEST_F(MachineTypeCatalogTest, JobsRunOnlyWhereTheirRulesAllow) {
-  JobSpec spec = Spec("run-1", 4);
+  JobSpec spec = MakeSpec("run-1", 4);
   EXPECT_TRUE(types_.CanRun(spec, kSmallSpot));
   EXPECT_FALSE(types_.CanRun(spec, {"unlisted", "a", false}));
   spec.zone = "b";
   EXPECT_FALSE(types_.CanRun(spec, kSmallSpot));
-  spec = Spec("run-1", 5);
+  spec = MakeSpec("run-1", 5);
   EXPECT_FALSE(types_.CanRun(spec, kSmallSpot));
-  spec = Spec("run-1", 1);
+  spec = MakeSpec("run-1", 1);
   spec.spot = false;
   EXPECT_FALSE(types_.CanRun(spec, kSmallSpot));
   EXPECT_TRUE(types_.CanRun(spec, kSmallOrdinary));
 }
 
 TEST_F(MachineTypeCatalogTest, ASpreadJobHasAtMostHalfOfItsTasksInAZone) {
-  JobSpec spec = Spec("run-1", 1);
+  JobSpec spec = MakeSpec("run-1", 1);
   spec.spread = true;
   ApplyJob(spec, {{0, 1, "m-1", "a"}, {1, 1, "m-2", "a"}});
   EXPECT_THAT(types_.OpenZones(*cache_.FindJob("run-1")), ElementsAre("b"));
@@ -306,19 +308,19 @@
 
 // ---- Inventory ----
 
-using InstanceInventoryTest = AutoscalerPartTest;
+using InstanceInventoryTest = AutoscalerComponentTest;
 
 TEST_F(InstanceInventoryTest, KnowsTheListOnceAllPagesAreRead) {
   inventory_.ListIfDue();
-  Collect();
+  CollectCalls();
   CloudReply page;
   page.status = 200;
-  page.listed = {Machine("m-1", kSmallSpot)};
+  page.listed = {MakeListedMachine("m-1", kSmallSpot)};
   page.more = true;
   AnswerCloud(page);
   EXPECT_FALSE(inventory_.listed_once());
-  EXPECT_EQ(Asked<ListMachines>().after, "m-1");
-  page.listed = {Machine("m-2", kSmallOrdinary)};
+  EXPECT_EQ(SentCloudRequest<ListMachines>().after, "m-1");
+  page.listed = {MakeListedMachine("m-2", kSmallOrdinary)};
   page.more = false;
   AnswerCloud(page);
   EXPECT_TRUE(inventory_.listed_once());
@@ -327,33 +329,35 @@
 }
 
 TEST_F(InstanceInventoryTest, AMachineThatRanDoesNotBootAgainInAnOlderList) {
-  List({Machine("m-1", kSmallSpot)});
-  ListedMachine older = Machine("m-1", kSmallSpot);
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot)});
+  ListedMachine older = MakeListedMachine("m-1", kSmallSpot);
   older.status = MachineStatus::kBooting;
-  List({older});
+  ReadInstanceList({older});
   EXPECT_EQ(inventory_.Find("m-1")->status, MachineStatus::kRunning);
 }
 
 TEST_F(InstanceInventoryTest, OnlyALongAbsenceFromTheListRemovesAMachine) {
-  List({Machine("m-1", kSmallSpot)});
-  List({});  // after 10 s, less than twice the list's lag and 5 s
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot)});
+  ReadInstanceList({});  // after 10 s, less than twice the list's lag and 5 s
   EXPECT_NE(inventory_.Find("m-1"), nullptr);
-  List({});
+  ReadInstanceList({});
   EXPECT_EQ(inventory_.Find("m-1"), nullptr);
 }
 
 TEST_F(InstanceInventoryTest, FailedAndOverdueMachinesAreDeletedNotCounted) {
-  ListedMachine failed = Machine("m-failed", kSmallSpot);
+  ListedMachine failed = MakeListedMachine("m-failed", kSmallSpot);
   failed.status = MachineStatus::kFailed;
-  ListedMachine overdue = Machine("m-overdue", kSmallSpot, Seconds(71));
+  ListedMachine overdue =
+      MakeListedMachine("m-overdue", kSmallSpot, Seconds(71));
   overdue.status = MachineStatus::kBooting;
-  ListedMachine booting = Machine("m-booting", kSmallSpot, Seconds(70));
+  ListedMachine booting =
+      MakeListedMachine("m-booting", kSmallSpot, Seconds(70));
   booting.status = MachineStatus::kBooting;
-  List({failed, overdue, booting});
+  ReadInstanceList({failed, overdue, booting});
   EXPECT_EQ(inventory_.CountUsable(), 1);
   inventory_.DeleteBroken();
-  Collect();
-  EXPECT_THAT(Asked<DeleteMachines>().machines,
+  CollectCalls();
+  EXPECT_THAT(SentCloudRequest<DeleteMachines>().machines,
               ElementsAre("m-failed", "m-overdue"));
   CloudReply reply;
   reply.status = 200;
@@ -362,9 +366,9 @@
 }
 
 TEST_F(InstanceInventoryTest, AMachineWithTasksIsNeverOverdue) {
-  ListedMachine booting = Machine("m-1", kSmallSpot);
+  ListedMachine booting = MakeListedMachine("m-1", kSmallSpot);
   booting.status = MachineStatus::kBooting;
-  List({booting});
+  ReadInstanceList({booting});
   EXPECT_EQ(inventory_.CountUsable(), 0);
   inventory_.RecordUse({{"m-1", {}}});
   EXPECT_EQ(inventory_.CountUsable(), 1);
@@ -372,12 +376,12 @@
 
 // ---- Instance requests ----
 
-using InstanceRequestsTest = AutoscalerPartTest;
+using InstanceRequestsTest = AutoscalerComponentTest;
 
 TEST_F(InstanceRequestsTest, TheLargestCountIsRequestedFirst) {
   instance_requests_.Create({{kSmallOrdinary, 2}, {kSmallSpot, 60}},
                             ScalingReason::kTarget, decision_);
-  Collect();
+  CollectCalls();
   ASSERT_THAT(StoredTransaction().writes, SizeIs(3));
   EXPECT_EQ(StoredTransaction().writes[0].key, keys::InstanceRequest("r-50-1"));
   EXPECT_EQ(OfferOf(StoredRecord<InstanceRequestRecord>(0)), kSmallSpot);
@@ -386,24 +390,24 @@
   EXPECT_EQ(OfferOf(StoredRecord<InstanceRequestRecord>(2)), kSmallOrdinary);
 }
 
-TEST_F(InstanceRequestsTest, WhatAPredecessorStoredIsSentAgain) {
+TEST_F(InstanceRequestsTest, RequestOfAPreviousLeaderIsSentAgain) {
   Apply(keys::InstanceRequest("r-49-1"),
         InstanceRequestRecord{"small", "a", true, 3, now_.wall, {}});
   instance_requests_.Reconcile();
   instance_requests_.Reconcile();  // one call at a time
-  Collect();
+  CollectCalls();
   ASSERT_THAT(cloud_calls_, SizeIs(1));
-  EXPECT_EQ(Asked<CreateInstances>().name, "r-49-1");
-  EXPECT_EQ(Asked<CreateInstances>().count, 3u);
+  EXPECT_EQ(SentCloudRequest<CreateInstances>().name, "r-49-1");
+  EXPECT_EQ(SentCloudRequest<CreateInstances>().count, 3u);
   ASSERT_THAT(instance_requests_.Pending(), SizeIs(1));
   EXPECT_EQ(instance_requests_.Pending()[0].count, 3);
 }
 
-TEST_F(InstanceRequestsTest, AShortAnswerIsStoredAndTheOfferLeftAloneAWhile) {
+TEST_F(InstanceRequestsTest, PartialAnswerIsStoredAndTheOfferAvoidedForAWhile) {
   Apply(keys::InstanceRequest("r-50-1"),
         InstanceRequestRecord{"small", "a", true, 3, now_.wall, {}});
   instance_requests_.Reconcile();
-  Collect();
+  CollectCalls();
   CloudReply reply;
   reply.status = 200;
   reply.created = {"m-1", "m-2"};
@@ -421,7 +425,7 @@
   Apply(keys::InstanceRequest("r-50-1"),
         InstanceRequestRecord{"small", "a", true, 3, now_.wall, {}});
   instance_requests_.Reconcile();
-  Collect();
+  CollectCalls();
   CloudReply reply;
   reply.status = 503;
   reply.no_capacity = true;
@@ -435,15 +439,15 @@
   Apply(keys::InstanceRequest("r-50-1"),
         InstanceRequestRecord{"small", "a", true, 3, now_.wall, {}});
   instance_requests_.Reconcile();
-  Collect();
+  CollectCalls();
   AnswerCloud({});
   EXPECT_THAT(state_calls_, IsEmpty());
   instance_requests_.Reconcile();
-  Collect();
+  CollectCalls();
   EXPECT_THAT(cloud_calls_, IsEmpty());
   Advance(Millis(1500));
   instance_requests_.Reconcile();
-  Collect();
+  CollectCalls();
   EXPECT_THAT(cloud_calls_, SizeIs(1));
 }
 
@@ -451,30 +455,30 @@
   Apply(keys::InstanceRequest("r-49-1"),
         InstanceRequestRecord{"small", "a", true, 1, now_.wall, {"m-1"}});
   instance_requests_.Reconcile();
-  Collect();
+  CollectCalls();
   EXPECT_THAT(state_calls_, IsEmpty());
   // A new leader learns of the machine from the stored request.
   ASSERT_NE(inventory_.Find("m-1"), nullptr);
   instance_requests_.Reconcile();
-  Collect();
+  CollectCalls();
   EXPECT_THAT(state_calls_, IsEmpty());
-  List({Machine("m-1", kSmallSpot)});
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot)});
   instance_requests_.Reconcile();
-  Collect();
+  CollectCalls();
   ASSERT_THAT(StoredTransaction().writes, SizeIs(1));
   EXPECT_FALSE(StoredTransaction().writes[0].value.has_value());
 }
 
 // ---- Scale-out ----
 
-using ScaleOutTest = AutoscalerPartTest;
+using ScaleOutTest = AutoscalerComponentTest;
 
 TEST_F(ScaleOutTest, ZonesAtTheLowestPriceShareWhatIsRequested) {
-  List({Machine("m-1", kSmallSpot)});
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot)});
   Demand demand;
   demand.requested = Resources::FromDecimals(8, 0, 8);
   EXPECT_TRUE(scale_out_.RequestCheapest(3, demand, decision_));
-  Collect();
+  CollectCalls();
   ASSERT_THAT(StoredTransaction().writes, SizeIs(2));
   // Zone a has one machine already.
   EXPECT_EQ(OfferOf(StoredRecord<InstanceRequestRecord>(0)),
@@ -488,27 +492,27 @@
   demand.requested = Resources::FromDecimals(8, 0, 8);
   demand.ordinary_only = demand.requested;
   EXPECT_TRUE(scale_out_.RequestCheapest(1, demand, decision_));
-  Collect();
+  CollectCalls();
   EXPECT_FALSE(StoredRecord<InstanceRequestRecord>().spot);
 }
 
 TEST_F(ScaleOutTest, AJobThatNoMachineCanRunIsUnserved) {
-  List({Machine("m-1", kSmallSpot)});
-  ApplyJob(Spec("run-small", 4), {});
-  ApplyJob(Spec("run-large", 16), {});
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot)});
+  ApplyJob(MakeSpec("run-small", 4), {});
+  ApplyJob(MakeSpec("run-large", 16), {});
   const Job* small = cache_.FindJob("run-small");
   const Job* large = cache_.FindJob("run-large");
   EXPECT_EQ(scale_out_.FindUnservedJob(DemandOf(*small), {}), nullptr);
   EXPECT_EQ(scale_out_.FindUnservedJob(DemandOf(*large), {}), large);
   EXPECT_TRUE(scale_out_.RequestFor(*large, decision_));
-  Collect();
+  CollectCalls();
   EXPECT_EQ(OfferOf(StoredRecord<InstanceRequestRecord>()),
             (Offer{"large", "a", true}));
 }
 
 TEST_F(ScaleOutTest, OnlyLessImportantTasksMakeCapacityForAReplica) {
-  List({Machine("m-1", kSmallSpot)});
-  JobSpec service = Spec("run-service", 2);
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot)});
+  JobSpec service = MakeSpec("run-service", 2);
   service.shape = Shape::kService;
   service.priority = Priority::kNormal;
   ApplyJob(service, {});
@@ -527,7 +531,7 @@
 
 // ---- Scale-in ----
 
-class ScaleInTest : public AutoscalerPartTest {
+class ScaleInTest : public AutoscalerComponentTest {
  protected:
   // Calls CordonSurplus when the surplus begins and again once it has lasted
   // for `idle_before_return`. Returns whether the second call cordoned
@@ -537,14 +541,15 @@
     EXPECT_FALSE(scale_in_.CordonSurplus(surplus, use, decision_));
     Advance(tuning_.idle_before_return);
     bool cordoned = scale_in_.CordonSurplus(surplus, use, decision_);
-    Collect();
+    CollectCalls();
     return cordoned;
   }
 };
 
-TEST_F(ScaleInTest, EmptyMachinesGoFirstTheDearestBeforeTheOthers) {
-  List({Machine("m-busy", kSmallOrdinary), Machine("m-dear", kSmallOrdinary),
-        Machine("m-spot", kSmallSpot)});
+TEST_F(ScaleInTest, IdleMachinesAreCordonedFirstTheMostExpensiveBeforeOthers) {
+  ReadInstanceList({MakeListedMachine("m-busy", kSmallOrdinary),
+                    MakeListedMachine("m-dear", kSmallOrdinary),
+                    MakeListedMachine("m-spot", kSmallSpot)});
   MachineUseTable use;
   use["m-busy"].resources = Resources::FromDecimals(1, 0, 1);
   ASSERT_TRUE(CordonAfterAWhile({2, 2}, use));
@@ -553,19 +558,21 @@
 }
 
 TEST_F(ScaleInTest, OrdinaryMachinesThatAreNeededStay) {
-  List({Machine("m-dear", kSmallOrdinary), Machine("m-spot", kSmallSpot)});
+  ReadInstanceList({MakeListedMachine("m-dear", kSmallOrdinary),
+                    MakeListedMachine("m-spot", kSmallSpot)});
   ASSERT_TRUE(CordonAfterAWhile({2, 0}, {}));
   EXPECT_THAT(StoredRecord<DrainRecord>().machines, ElementsAre("m-spot"));
 }
 
 TEST_F(ScaleInTest, AMachineWithinItsMinimumChargeStays) {
-  List({Machine("m-1", kSmallSpot, Seconds(30))});
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot, Seconds(30))});
   EXPECT_FALSE(CordonAfterAWhile({1, 1}, {}));
 }
 
 TEST_F(ScaleInTest, AtMostFourReplicasDrainAtATime) {
-  List({Machine("m-1", kSmallSpot), Machine("m-2", kSmallSpot),
-        Machine("m-3", kSmallSpot)});
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot),
+                    MakeListedMachine("m-2", kSmallSpot),
+                    MakeListedMachine("m-3", kSmallSpot)});
   MachineUseTable use;
   for (const char* name : {"m-1", "m-2", "m-3"}) use[name].replicas = 2;
   ASSERT_TRUE(CordonAfterAWhile({3, 3}, use));
@@ -573,7 +580,7 @@
 }
 
 TEST_F(ScaleInTest, ASurplusThatEndedHasToLastAgain) {
-  List({Machine("m-1", kSmallSpot)});
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot)});
   inventory_.RecordUse({});
   EXPECT_FALSE(scale_in_.CordonSurplus({1, 1}, {}, decision_));
   Advance(tuning_.idle_before_return);
@@ -582,18 +589,19 @@
 }
 
 TEST_F(ScaleInTest, OnlyMachinesWithTasksAreUncordoned) {
-  List({Machine("m-1", kSmallSpot), Machine("m-2", kSmallSpot),
-        Machine("m-3", kSmallSpot)});
+  ReadInstanceList({MakeListedMachine("m-1", kSmallSpot),
+                    MakeListedMachine("m-2", kSmallSpot),
+                    MakeListedMachine("m-3", kSmallSpot)});
   Apply(keys::kDrain, DrainRecord{{"m-1", "m-2", "m-3", "m-gone"}});
   inventory_.RecordUse({{"m-2", {}}, {"m-3", {}}});
   EXPECT_EQ(scale_in_.Uncordon(1), 1);
-  Collect();
+  CollectCalls();
   EXPECT_THAT(StoredRecord<DrainRecord>().machines, ElementsAre("m-1", "m-3"));
 }
 
 // ---- Sizing history ----
 
-class SizingHistoryTest : public AutoscalerPartTest {
+class SizingHistoryTest : public AutoscalerComponentTest {
  protected:
   uint64_t Period() const {
     return static_cast<uint64_t>(now_.wall.time_since_epoch() / tuning_.period);
@@ -615,7 +623,7 @@
   decision_.count = 6;
   history_.RecordPeriod(decision_, 2);
   history_.RecordPeriod(decision_, 2);
-  Collect();
+  CollectCalls();
   ASSERT_THAT(state_calls_, SizeIs(1));
   const auto& record = StoredRecord<SizingRecord>();
   EXPECT_EQ(record.period, Period());
@@ -630,11 +638,11 @@
 TEST_F(SizingHistoryTest, LateReportsAreWaitedForAThirdOfThePeriod) {
   Report(0, 4);
   history_.RecordPeriod(decision_, 2);
-  Collect();
+  CollectCalls();
   EXPECT_THAT(state_calls_, IsEmpty());
   Advance(tuning_.period / 3);
   history_.RecordPeriod(decision_, 2);
-  Collect();
+  CollectCalls();
   EXPECT_THAT(state_calls_, SizeIs(1));
 }
 
@@ -645,7 +653,7 @@
   Apply(keys::kSizing, stored);
   Report(0, 4);
   history_.RecordPeriod(decision_, 1);
-  Collect();
+  CollectCalls();
   EXPECT_THAT(StoredRecord<SizingRecord>().history, SizeIs(4));
 }
 
@@ -660,10 +668,10 @@
 
 // ---- Use ----
 
-using MachineUseTest = AutoscalerPartTest;
+using MachineUseTest = AutoscalerComponentTest;
 
 TEST_F(MachineUseTest, SumsTasksByMachineAndPriority) {
-  JobSpec service = Spec("run-1", 2);
+  JobSpec service = MakeSpec("run-1", 2);
   service.shape = Shape::kService;
   ApplyJob(service, {{0, 1, "m-1", "a"}, {1, 1, "m-1", "a"}});
   const MachineUseTable use = MeasureMachineUse(cache_);
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -51,7 +51,7 @@
   return out.Take();
 }
 
-TEST(Submission, GoodOneIsUnderstood) {
+TEST(Submission, ValidOneIsDecoded) {
   auto spec = DecodeSubmission(Submission()).value;
   ASSERT_TRUE(spec);
   EXPECT_EQ(spec->id, "run-000412");
@@ -69,7 +69,7 @@
   Value text = [](Packer& p) { p.Value("x"); };
   Value negative = [](Packer& p) { p.Value(-1); };
   Value nan = [](Packer& p) { p.Value(std::nan("")); };
-  Value endless = [](Packer& p) {
+  Value infinity = [](Packer& p) {
     p.Value(std::numeric_limits<double>::infinity());
   };
   Value huge = [](Packer& p) { p.Value(1e300); };
@@ -91,7 +91,7 @@
                                                {"legs", decimal},
                                                {"vcpus", negative},
                                                {"vcpus", nan},
-                                               {"vcpus", endless},
+                                               {"vcpus", infinity},
                                                {"vcpus", huge},
                                                {"vcpus", text},
                                                {"mem_gb", negative},
@@ -155,7 +155,7 @@
   EXPECT_TRUE(DecodeSubmission(unknown.Take()).value);
 }
 
-TEST(Submission, NoMapOrGarbage) {
+TEST(Submission, GarbageAndOtherTypesThanMapsAreRefused) {
   EXPECT_FALSE(DecodeSubmission("").value);
   EXPECT_FALSE(DecodeSubmission("\x93\x01\x02\x03").value);
   EXPECT_FALSE(DecodeSubmission("{\"uid\":1}").value);
@@ -171,7 +171,7 @@
   EXPECT_FALSE(DecodeSubmission(std::string(60000, '\x81')).value);
 }
 
-TEST(JobIds, HaveOneForm) {
+TEST(JobIds, OnlyTheRunFormIsValid) {
   EXPECT_TRUE(ValidJobId("run-000412"));
   EXPECT_TRUE(ValidJobId("run-12345678"));
   for (const char* id : {"", "run-", "run-00x", "job-000412", "run-0004/2",
@@ -180,7 +180,7 @@
   }
 }
 
-TEST(Heartbeat, IsUnderstood) {
+TEST(Heartbeat, IsDecoded) {
   Packer out;
   out.Map(9).Pair("tine", "m-000231").Pair("addr", "10.1.0.232:9000");
   out.Pair("rig", "g8").Pair("yard", "a").Pair("loaners", true);
@@ -235,7 +235,7 @@
   return text.str().size();
 }
 
-TEST(Records, SegmentsComeBackAsTheyWere) {
+TEST(Records, SegmentsRoundTrip) {
   std::mt19937 random(5);
   for (int round = 0; round < 100; ++round) {
     SegmentFiller filler(100000);
@@ -263,7 +263,7 @@
   }
 }
 
-TEST(Records, JobsComeBackAsTheyWere) {
+TEST(Records, JobsRoundTrip) {
   JobRecord job;
   job.spec = *DecodeSubmission(Submission()).value;
   job.spec.types = std::vector<std::string>{"g8", "g9"};
@@ -353,7 +353,7 @@
   return body;
 }
 
-TEST(Fuzz, NoDecoderTrustsItsInput) {
+TEST(Fuzz, DecodersWithstandMutatedInput) {
   std::mt19937 random(20261201);
   const std::string submission = Submission();
   PeerHeartbeat peer_heartbeat;
@@ -373,11 +373,11 @@
   heartbeat_out.Map(3).Pair("leg", "run-1/0").Pair("try", 1);
   heartbeat_out.Pair("status", "running");
   const std::string heartbeat = heartbeat_out.Take();
-  int understood = 0;
+  int accepted = 0;
   for (int round = 0; round < 20000; ++round) {
     auto spec = DecodeSubmission(Mutate(submission, random));
     if (spec.value) {
-      ++understood;
+      ++accepted;
       EXPECT_TRUE(ValidJobId(spec.value->id));
       EXPECT_GE(spec.value->tasks, 1u);
       EXPECT_LE(spec.value->tasks, 100000u);
@@ -399,10 +399,10 @@
     DecodeState(WatchRead{}, 200, Mutate(record, random));
     DecodeCloud(ListMachines{}, 200, Mutate(heartbeat, random));
   }
-  EXPECT_GT(understood, 0);
+  EXPECT_GT(accepted, 0);
 }
 
-TEST(PeerHeartbeat, ComesBackAsItWas) {
+TEST(PeerHeartbeat, RoundTrips) {
   PeerHeartbeat heartbeat;
   heartbeat.label = "node-1";
   heartbeat.incarnation = "00ff";
@@ -439,13 +439,13 @@
   EXPECT_EQ(back->tokens, heartbeat.tokens);
 }
 
-TEST(PeerHeartbeat, SizeOfNothingIsAsked) {
+TEST(PeerHeartbeat, EmptyInputNeedsEightBytes) {
   EXPECT_EQ(PeerHeartbeatSize({}), 8u);
 }
 
 // An unreadable answer counts as no answer: whether the request was carried out
 // is unknown.
-TEST(StateReplies, UnreadableOnesCountAsNone) {
+TEST(StateReplies, UnreadableOneCountsAsNoAnswer) {
   EXPECT_EQ(DecodeState(Transaction{}, 200, "").status, 0);
   EXPECT_EQ(DecodeState(WatchRead{}, 200, "\xc1").status, 0);
   EXPECT_EQ(DecodeState(Renew{}, 200, "").status, 200);
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -25,7 +25,7 @@
 
 constexpr uint64_t kFencingToken = 50;
 
-JobSpec Spec(const std::string& id, uint32_t tasks, double cpus) {
+JobSpec MakeSpec(const std::string& id, uint32_t tasks, double cpus) {
   JobSpec spec;
   spec.id = id;
   spec.team = "red";
@@ -58,10 +58,10 @@
 
 // ---- Outcomes of attempts ----
 
-class AttemptProof : public ::testing::Test {
+class AttemptOutcomeTest : public ::testing::Test {
  protected:
-  AttemptProof() {
-    job_.record.spec = Spec("run-1", 4, 1);
+  AttemptOutcomeTest() {
+    job_.record.spec = MakeSpec("run-1", 4, 1);
     machine_.name = "m-1";
     WorkerHeartbeat heartbeat;
     heartbeat.agent_epoch = 2;
@@ -71,11 +71,11 @@
     task_.job = &job_;
     task_.attempt = 3;
   }
-  void Reported(TaskState state, ExitCause cause = ExitCause::kNone,
-                uint32_t attempt = 3) {
+  void AddReport(TaskState state, ExitCause cause = ExitCause::kNone,
+                 uint32_t attempt = 3) {
     machine_.heartbeat->tasks.push_back({"run-1", 0, attempt, state, cause});
   }
-  AttemptOutcome Ask(bool wanted = true) {
+  AttemptOutcome Classify(bool wanted = true) {
     return ClassifyAttempt(machine_, {"run-1", 0}, task_, kFencingToken,
                            wanted);
   }
@@ -84,66 +84,67 @@
   BoundAttempt task_;
 };
 
-TEST_F(AttemptProof, NothingFollowsFromAHeartbeatOlderThanTheFencingToken) {
+TEST_F(AttemptOutcomeTest, HeartbeatWithAnOlderFencingTokenProvesNothing) {
   task_.bound_by_previous_owner = true;
   machine_.heartbeat->fencing_token = kFencingToken - 1;
-  EXPECT_EQ(Ask(), AttemptOutcome::kBound);
-  Reported(TaskState::kExited, ExitCause::kStopped);
-  EXPECT_EQ(Ask(), AttemptOutcome::kBound);
+  EXPECT_EQ(Classify(), AttemptOutcome::kBound);
+  AddReport(TaskState::kExited, ExitCause::kStopped);
+  EXPECT_EQ(Classify(), AttemptOutcome::kBound);
 }
 
-TEST_F(AttemptProof, ATaskOfAPreviousOwnerThatANewHeartbeatLacksIsGone) {
+TEST_F(AttemptOutcomeTest, TaskOfAPreviousOwnerThatIsNotReportedIsGone) {
   task_.bound_by_previous_owner = true;
-  EXPECT_EQ(Ask(), AttemptOutcome::kGone);
+  EXPECT_EQ(Classify(), AttemptOutcome::kGone);
 }
 
-TEST_F(AttemptProof, AStartOnItsWayIsNotGone) {
+TEST_F(AttemptOutcomeTest, StartSentInAnswerToTheNewestHeartbeatIsBound) {
   task_.start_sent = HeartbeatId{2, 10};
-  EXPECT_EQ(Ask(true), AttemptOutcome::kBound);
-  EXPECT_EQ(Ask(false), AttemptOutcome::kBound);
+  EXPECT_EQ(Classify(true), AttemptOutcome::kBound);
+  EXPECT_EQ(Classify(false), AttemptOutcome::kBound);
 }
 
-TEST_F(AttemptProof, AStartThatANewerHeartbeatLacksWasNotCarriedOut) {
+TEST_F(AttemptOutcomeTest, StartMissingFromANewerHeartbeatWasNotCarriedOut) {
   task_.start_sent = HeartbeatId{2, 9};
-  EXPECT_EQ(Ask(true), AttemptOutcome::kBound);  // sent again
-  EXPECT_EQ(Ask(false), AttemptOutcome::kGone);
+  EXPECT_EQ(Classify(true), AttemptOutcome::kBound);  // sent again
+  EXPECT_EQ(Classify(false), AttemptOutcome::kGone);
 }
 
 // The attempt may have run in the agent epoch that ended, so it must not be
 // started again.
-TEST_F(AttemptProof, ANewAgentEpochEndsWhatWasStartedBefore) {
+TEST_F(AttemptOutcomeTest, StartOfAnEarlierAgentEpochIsGone) {
   task_.start_sent = HeartbeatId{1, 9};
-  EXPECT_EQ(Ask(true), AttemptOutcome::kGone);
+  EXPECT_EQ(Classify(true), AttemptOutcome::kGone);
 }
 
-TEST_F(AttemptProof, AnotherTryOfTheTaskSaysNothing) {
+TEST_F(AttemptOutcomeTest, ReportOfAnotherAttemptIsIgnored) {
   task_.start_sent = HeartbeatId{2, 10};
-  Reported(TaskState::kExited, ExitCause::kDone, 2);
-  EXPECT_EQ(Ask(), AttemptOutcome::kBound);
+  AddReport(TaskState::kExited, ExitCause::kDone, 2);
+  EXPECT_EQ(Classify(), AttemptOutcome::kBound);
 }
 
-TEST_F(AttemptProof, EndsAreWhatTheyAre) {
-  Reported(TaskState::kExited, ExitCause::kDone);
-  EXPECT_EQ(Ask(), AttemptOutcome::kDone);
+TEST_F(AttemptOutcomeTest, ExitCauseDeterminesTheOutcome) {
+  AddReport(TaskState::kExited, ExitCause::kDone);
+  EXPECT_EQ(Classify(), AttemptOutcome::kDone);
   machine_.heartbeat->tasks[0].cause = ExitCause::kError;
-  EXPECT_EQ(Ask(), AttemptOutcome::kFailed);
+  EXPECT_EQ(Classify(), AttemptOutcome::kFailed);
   machine_.heartbeat->tasks[0].cause = ExitCause::kNoCapacity;
-  EXPECT_EQ(Ask(), AttemptOutcome::kRefused);
+  EXPECT_EQ(Classify(), AttemptOutcome::kRefused);
   machine_.heartbeat->tasks[0].cause = ExitCause::kStopped;
-  EXPECT_EQ(Ask(), AttemptOutcome::kGone);
+  EXPECT_EQ(Classify(), AttemptOutcome::kGone);
   machine_.heartbeat->tasks[0].state = TaskState::kSaving;
-  EXPECT_EQ(Ask(), AttemptOutcome::kBound);
+  EXPECT_EQ(Classify(), AttemptOutcome::kBound);
 }
 
 // ---- Worker commands ----
 
-TEST_F(AttemptProof, CommandsFollowWhatIsStored) {
+TEST_F(AttemptOutcomeTest, CommandsFollowTheStoredAssignments) {
   machine_.bound[{"run-1", 0}] = task_;
-  Reported(TaskState::kRunning, ExitCause::kNone, 2);  // an earlier attempt
+  AddReport(TaskState::kRunning, ExitCause::kNone, 2);  // an earlier attempt
   machine_.heartbeat->tasks.push_back(
       {"run-9", 1, 1, TaskState::kExited, ExitCause::kDone});
-  auto yes = [](const BoundAttempt&) { return true; };
-  CommandPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)), yes};
+  auto always_active = [](const BoundAttempt&) { return true; };
+  CommandPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)),
+                       always_active};
   std::vector<WorkerCommand> commands = BuildCommands(machine_, policy);
   ASSERT_EQ(commands.size(), 3u);
   EXPECT_EQ(commands[0].op, WorkerCommand::Op::kStop);
@@ -158,13 +159,14 @@
   EXPECT_TRUE(BuildCommands(machine_, policy).empty());
 }
 
-TEST_F(AttemptProof, WhatIsSavedIsWorthTheSaving) {
+TEST_F(AttemptOutcomeTest, GraceIsGivenOnlyIfSavingIsWorthwhile) {
   job_.record.spec.checkpoint = Seconds(20);
   job_.record.spec.save = Seconds(5);
-  Reported(TaskState::kRunning);
+  AddReport(TaskState::kRunning);
   task_.preempted = true;
-  auto yes = [](const BoundAttempt&) { return true; };
-  CommandPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)), yes};
+  auto always_active = [](const BoundAttempt&) { return true; };
+  CommandPolicy policy{kFencingToken, true, SteadyTime(Seconds(100)),
+                       always_active};
   auto grace = [&](double running_since_s) {
     task_.running_since = SteadyTime(Seconds(running_since_s));
     machine_.bound[{"run-1", 0}] = task_;
@@ -178,10 +180,10 @@
   EXPECT_EQ(grace(88), Duration(0));
 }
 
-TEST_F(AttemptProof, NothingStartsWhenItMayNotOrIsNotWanted) {
+TEST_F(AttemptOutcomeTest, NothingStartsIfStartsAreForbiddenOrTheJobIsOver) {
   machine_.bound[{"run-1", 0}] = task_;
-  auto yes = [](const BoundAttempt&) { return true; };
-  CommandPolicy no_starts{kFencingToken, false, {}, yes};
+  auto always_active = [](const BoundAttempt&) { return true; };
+  CommandPolicy no_starts{kFencingToken, false, {}, always_active};
   EXPECT_TRUE(BuildCommands(machine_, no_starts).empty());
   CommandPolicy unwanted{
       kFencingToken, true, {}, [](const BoundAttempt&) { return false; }};
@@ -190,17 +192,18 @@
 
 // ---- State cache ----
 
-TEST(StateCache, OlderNewsDoesNotUndoNewer) {
+TEST(StateCache, OlderChangeDoesNotReplaceANewerOne) {
   StateCache state_cache;
-  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 5));
-  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 9, JobState::kCancelled));
-  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 7, JobState::kDone));
+  state_cache.Apply(JobChange(MakeSpec("run-1", 8, 1), 5));
+  state_cache.Apply(
+      JobChange(MakeSpec("run-1", 8, 1), 9, JobState::kCancelled));
+  state_cache.Apply(JobChange(MakeSpec("run-1", 8, 1), 7, JobState::kDone));
   EXPECT_EQ(state_cache.FindJob("run-1")->record.state, JobState::kCancelled);
 }
 
 // The cache applies this process's own deletion before a read shows it. A read
 // that is already under way still returns earlier values of the key.
-TEST(StateCache, ADeletedKeyDoesNotComeBack) {
+TEST(StateCache, EarlierValueDoesNotRestoreADeletedKey) {
   StateCache state_cache;
   Change put{keys::InstanceRequest("r-1"), InstanceRequestRecord{"g8", "a"}, 4};
   state_cache.Apply({keys::InstanceRequest("r-1"), std::nullopt, 6});
@@ -216,9 +219,10 @@
 // An older version must not bind tasks again that a newer one has released, and
 // what the job's tasks need must be kept until all segments have been read, or
 // a quota would be miscounted.
-TEST(StateCache, OlderSegmentsOfAJobThatIsOverAreReadAfterNewerOnes) {
+TEST(StateCache, OlderSegmentDoesNotRebindTasksOfAFinalJob) {
   StateCache state_cache;
-  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 9, JobState::kCancelled));
+  state_cache.Apply(
+      JobChange(MakeSpec("run-1", 8, 1), 9, JobState::kCancelled));
   state_cache.Apply(ChunkChange("run-1", 0, 8, {}));
   state_cache.Apply(ChunkChange("run-1", 0, 4, {{0, 1, "m-1", "a"}}));
   EXPECT_EQ(state_cache.FindJob("run-1")->assigned, 0u);
@@ -234,9 +238,9 @@
 
 // The previous owner of a chunk may copy its last version forward after the new
 // owner has started tasks of the chunk.
-TEST(StateCache, AChunkThatWasGivenAwayStaysWithItsNewOwner) {
+TEST(StateCache, ChunkStaysWithItsNewOwnerAfterTheOldOwnerCopiesIt) {
   StateCache state_cache;
-  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 1));
+  state_cache.Apply(JobChange(MakeSpec("run-1", 8, 1), 1));
   auto version = [](uint32_t partition, uint32_t epoch, uint64_t mod_revision,
                     bool on) {
     ChunkRecord record;
@@ -252,9 +256,9 @@
   EXPECT_EQ(state_cache.FindJob("run-1")->FindChunk(0)->partition, 1u);
 }
 
-TEST(StateCache, UnreadableRecordsArePassedOver) {
+TEST(StateCache, UnreadableRecordKeepsThePreviousVersion) {
   StateCache state_cache;
-  state_cache.Apply(JobChange(Spec("run-1", 8, 1), 1));
+  state_cache.Apply(JobChange(MakeSpec("run-1", 8, 1), 1));
   Change change = ChunkChange("run-1", 0, 2, {{0, 1, "m-1", "a"}});
   state_cache.Apply(change);
   change.value.reset();
@@ -267,12 +271,12 @@
 
 // Compares the counts of the cache with a recount after every change of a
 // random history.
-TEST(StateCache, CountsMatchAPlainCount) {
+TEST(StateCache, CountsMatchARecount) {
   std::mt19937 random(9);
   StateCache state_cache;
   std::map<std::pair<int, uint32_t>, std::pair<size_t, uint32_t>> plain;
   for (int job = 0; job < 5; ++job) {
-    state_cache.Apply(JobChange(Spec("run-" + std::to_string(job), 40, 1),
+    state_cache.Apply(JobChange(MakeSpec("run-" + std::to_string(job), 40, 1),
                                 static_cast<uint64_t>(job) + 1));
   }
   for (uint64_t mod_revision = 10; mod_revision < 500; ++mod_revision) {
@@ -308,12 +312,12 @@
 // If a page of a long list fails, the watcher asks for that page again. If it
 // began the list anew each time, the list would never end while the state
 // service refuses one request in three.
-TEST(StateWatcher, GoesOnWithTheListWhereItFailed) {
+TEST(StateWatcher, ResumesAListAtThePageThatFailed) {
   Tuning tuning;
-  Outbox out;
+  Outbox outbox;
   StateCache state_cache;
   TokenBucket requests(100, 100);
-  StateWatcher state_watcher(tuning, out, state_cache, requests);
+  StateWatcher state_watcher(tuning, outbox, state_cache, requests);
   Now now{SteadyTime(Seconds(1000)), WallTime(Seconds(1000))};
   constexpr int kPages = 8;
   auto key = [](int page) { return "pf/jobs/run-" + std::to_string(page); };
@@ -321,9 +325,9 @@
   int calls = 0;
   for (int step = 0; step < 200 && !state_watcher.loaded(); ++step) {
     now.steady += Millis(50);
-    out.set_now(now);
+    outbox.set_now(now);
     state_watcher.Step();
-    std::vector<Effect> effects = out.TakeEffects();
+    std::vector<Effect> effects = outbox.TakeEffects();
     while (!effects.empty()) {
       const auto* call = std::get_if<StateCall>(&effects.front());
       if (call == nullptr) break;
@@ -336,12 +340,12 @@
         asked.push_back(after);
         reply.revision = 100 + static_cast<uint64_t>(page);
         Change change =
-            JobChange(Spec("run-" + std::to_string(page), 8, 1), 10);
+            JobChange(MakeSpec("run-" + std::to_string(page), 8, 1), 10);
         reply.changes.push_back(change);
         reply.more = page + 1 < kPages;
       }
-      out.Handle(reply);
-      effects = out.TakeEffects();
+      outbox.Handle(reply);
+      effects = outbox.TakeEffects();
     }
   }
   ASSERT_TRUE(state_watcher.loaded());
@@ -358,7 +362,7 @@
 // If more partitions are stored than the setting names, the machines and tasks
 // of the others would never be served. The controller logs this once, with the
 // remedy.
-TEST(Controller, NamesStoredPartitionsThatTheSettingLeavesOut) {
+TEST(Controller, LogsAPartitionCountMismatchOnceWithTheRemedy) {
   Deployment deployment;
   deployment.label = "node-0";
   Tuning tuning;
@@ -366,7 +370,7 @@
   Controller controller(deployment, tuning, "1");
   Now now{SteadyTime(Seconds(1000)), WallTime(Seconds(1000))};
   std::vector<Command> batch{Tick{}};
-  std::vector<std::string> said;
+  std::vector<std::string> mismatch_logs;
   for (int step = 0; step < 100; ++step) {
     now.steady += Millis(50);
     std::vector<Effect> effects = controller.Handle(now, batch);
@@ -374,7 +378,7 @@
     for (const Effect& effect : effects) {
       if (const auto* line = std::get_if<LogLine>(&effect)) {
         if (line->text.find("partition_count_mismatch") != std::string::npos) {
-          said.push_back(line->text);
+          mismatch_logs.push_back(line->text);
         }
       }
       const auto* call = std::get_if<StateCall>(&effect);
@@ -390,12 +394,14 @@
       batch.push_back(reply);
     }
   }
-  ASSERT_EQ(said.size(), 1u);
-  EXPECT_NE(said[0].find("stored=5 now=2"), std::string::npos) << said[0];
-  EXPECT_NE(said[0].find("(parts 5)"), std::string::npos) << said[0];
+  ASSERT_EQ(mismatch_logs.size(), 1u);
+  EXPECT_NE(mismatch_logs[0].find("stored=5 now=2"), std::string::npos)
+      << mismatch_logs[0];
+  EXPECT_NE(mismatch_logs[0].find("(parts 5)"), std::string::npos)
+      << mismatch_logs[0];
 }
 
-TEST(Drain, KeepsAsManyNamesAsAValueTakes) {
+TEST(TruncateToFit, KeepsAsManyNamesAsTheValueHolds) {
   constexpr size_t kValueBytes = 8192;
   std::vector<std::string> names;
   names.reserve(3000);
@@ -425,7 +431,7 @@
   StateCache writer;
   std::vector<Change> jobs;
   for (int job = 0; job < 20; ++job) {
-    jobs.push_back(JobChange(Spec("run-" + std::to_string(job), 24, 1),
+    jobs.push_back(JobChange(MakeSpec("run-" + std::to_string(job), 24, 1),
                              static_cast<uint64_t>(job) + 1));
     writer.Apply(jobs.back());
   }
@@ -479,8 +485,8 @@
   StateCache state_cache;
   uint64_t mod_revision = 0;
   for (uint32_t job = 0; job < kJobs; ++job) {
-    state_cache.Apply(
-        JobChange(Spec("run-" + std::to_string(job), 8, 1), ++mod_revision));
+    state_cache.Apply(JobChange(MakeSpec("run-" + std::to_string(job), 8, 1),
+                                ++mod_revision));
   }
   size_t copied = 0;
   auto store = [&](uint32_t job, uint32_t tasks) {
@@ -534,7 +540,8 @@
   };
   constexpr uint32_t kJobs = kMinSlots * kJobsInSlot;
   for (uint32_t job = 0; job < kJobs; ++job) {
-    apply(JobChange(Spec("run-" + std::to_string(job), 8, 1), ++mod_revision));
+    apply(JobChange(MakeSpec("run-" + std::to_string(job), 8, 1),
+                    ++mod_revision));
   }
   for (uint32_t slot = 0; slot < kMinSlots; ++slot) {
     SegmentRecord segment;
@@ -574,7 +581,7 @@
   }
 }
 
-TEST(Segments, WhatDoesNotFitIsRefusedWhole) {
+TEST(Segments, ChangesThatDoNotFitAreRefusedTogether) {
   StateCache state_cache;
   ChunkRecord record;
   for (uint32_t t = 0; t < 90; ++t) {
@@ -590,7 +597,7 @@
 
 // ---- Order, preemption, demand, placement ----
 
-Deployment OneTeam(double guaranteed, double limit) {
+Deployment DeploymentWithTeam(double guaranteed, double limit) {
   Deployment d;
   Team team;
   team.name = "red";
@@ -604,7 +611,7 @@
   StateCache state_cache;
   auto add = [&](const char* id, Priority priority, double due, int64_t at,
                  const char* team, double cpus) {
-    JobSpec spec = Spec(id, 1, cpus);
+    JobSpec spec = MakeSpec(id, 1, cpus);
     spec.priority = priority;
     spec.team = team;
     if (due > 0) spec.deadline = Seconds(due);
@@ -612,7 +619,7 @@
     std::get<JobRecord>(*change.value).submitted = WallTime(Duration(at));
     state_cache.Apply(change);
   };
-  Deployment d = OneTeam(4, 0);
+  Deployment d = DeploymentWithTeam(4, 0);
   d.teams["blue"].name = "blue";
   add("run-1", Priority::kHigh, 0, 1, "blue", 1);
   add("run-2", Priority::kHigh, 50, 2, "blue", 1);
@@ -637,11 +644,11 @@
 
 // Two of three jobs can meet their deadlines. In the order of the deadlines
 // alone, all but the first would be late.
-TEST(OrderJobs, TheOneWithTheMostWorkStepsBackWhenNotAllCanBeOnTime) {
+TEST(OrderJobs, JobWithTheMostWorkComesLastIfNotAllCanBeOnTime) {
   StateCache state_cache;
-  Deployment d = OneTeam(0, 10);
+  Deployment d = DeploymentWithTeam(0, 10);
   auto add = [&](const char* id, uint32_t tasks, double due) {
-    JobSpec spec = Spec(id, tasks, 1);  // 10 s each, 10 at once
+    JobSpec spec = MakeSpec(id, tasks, 1);  // 10 s each, 10 at once
     spec.deadline = Seconds(due);
     state_cache.Apply(JobChange(spec, 1));
   };
@@ -651,42 +658,42 @@
   EXPECT_EQ(OrderAt(state_cache, 0, d),
             (std::vector<std::string>{"run-2", "run-3", "run-1"}));
   // With twice the limit all can.
-  d = OneTeam(0, 20);
+  d = DeploymentWithTeam(0, 20);
   EXPECT_EQ(OrderAt(state_cache, 0, d),
             (std::vector<std::string>{"run-1", "run-2", "run-3"}));
 }
 
-TEST(OrderJobs, NoJobWaitsForEverBehindOthers) {
+TEST(OrderJobs, StarvingJobComesFirst) {
   StateCache state_cache;
-  Deployment d = OneTeam(4, 0);
-  JobSpec large = Spec("run-1", 500, 1);
+  Deployment d = DeploymentWithTeam(4, 0);
+  JobSpec large = MakeSpec("run-1", 500, 1);
   large.priority = Priority::kLow;
   state_cache.Apply(JobChange(large, 1));
-  JobSpec urgent = Spec("run-2", 1, 1);
+  JobSpec urgent = MakeSpec("run-2", 1, 1);
   urgent.priority = Priority::kHigh;
   Change later = JobChange(urgent, 2);
   std::get<JobRecord>(*later.value).submitted = WallTime(Seconds(90));
   state_cache.Apply(later);
-  using WorkerCommand = std::vector<std::string>;
-  EXPECT_EQ(OrderAt(state_cache, 100, d), (WorkerCommand{"run-2", "run-1"}));
-  EXPECT_EQ(OrderAt(state_cache, 151, d), (WorkerCommand{"run-1", "run-2"}));
+  using Ids = std::vector<std::string>;
+  EXPECT_EQ(OrderAt(state_cache, 100, d), (Ids{"run-2", "run-1"}));
+  EXPECT_EQ(OrderAt(state_cache, 151, d), (Ids{"run-1", "run-2"}));
   // Once one of its tasks has started, the job is ordered by its priority
   // again.
   state_cache.Apply(ChunkChange("run-1", 0, 3, {{0, 1, "m-1", "a"}}));
-  EXPECT_EQ(OrderAt(state_cache, 151, d), (WorkerCommand{"run-2", "run-1"}));
+  EXPECT_EQ(OrderAt(state_cache, 151, d), (Ids{"run-2", "run-1"}));
   EXPECT_EQ(AgedPriority(*state_cache.FindJob("run-1"), WallTime(Seconds(900))),
             static_cast<int>(Priority::kHigh));
 }
 
-TEST(Preemption, StopsOnlyLesserTasksThatCanSaveAndOnlyAsManyAsNeeded) {
+TEST(Preemption, StopsOnlyAsManyLowerPriorityTasksWithCheckpointsAsNeeded) {
   StateCache state_cache;
-  Deployment d = OneTeam(0, 10);
-  JobSpec low = Spec("run-1", 8, 2);
+  Deployment d = DeploymentWithTeam(0, 10);
+  JobSpec low = MakeSpec("run-1", 8, 2);
   low.priority = Priority::kLow;
   low.checkpoint = Seconds(20);
-  JobSpec plain = Spec("run-2", 8, 1);
+  JobSpec plain = MakeSpec("run-2", 8, 1);
   plain.priority = Priority::kLow;
-  JobSpec high = Spec("run-3", 2, 2);
+  JobSpec high = MakeSpec("run-3", 2, 2);
   high.priority = Priority::kHigh;
   state_cache.Apply(JobChange(low, 1));
   state_cache.Apply(JobChange(plain, 2));
@@ -723,15 +730,15 @@
 // A job that comes first because it has waited long must not be stopped for one
 // that it comes before: it would be started again at once, and stopped again,
 // without end.
-TEST(Preemption, SparesWhatHasGrownOld) {
+TEST(Preemption, SparesTasksOfAgedJobs) {
   StateCache state_cache;
-  Deployment d = OneTeam(0, 4);
-  JobSpec old = Spec("run-1", 8, 2);
+  Deployment d = DeploymentWithTeam(0, 4);
+  JobSpec old = MakeSpec("run-1", 8, 2);
   old.priority = Priority::kLow;
   old.checkpoint = Seconds(20);
   state_cache.Apply(JobChange(old, 1));
   state_cache.Apply(ChunkChange("run-1", 0, 2, {{0, 1, "m-1", "a"}}, 0));
-  Change later = JobChange(Spec("run-2", 8, 2), 3);  // of normal priority
+  Change later = JobChange(MakeSpec("run-2", 8, 2), 3);  // of normal priority
   std::get<JobRecord>(*later.value).submitted = WallTime(Seconds(100));
   state_cache.Apply(later);
   auto victims = [&](double now_s) {
@@ -746,15 +753,15 @@
   EXPECT_EQ(victims(430), 0u);  // its aged priority equals the other's
 }
 
-TEST(Preemption, EqualPriorityMakesNoRoom) {
+TEST(Preemption, DoesNotStopTasksOfEqualPriority) {
   StateCache state_cache;
-  Deployment d = OneTeam(0, 4);
-  JobSpec first = Spec("run-1", 8, 2);
+  Deployment d = DeploymentWithTeam(0, 4);
+  JobSpec first = MakeSpec("run-1", 8, 2);
   first.checkpoint = Seconds(20);
   state_cache.Apply(JobChange(first, 1));
   state_cache.Apply(
       ChunkChange("run-1", 0, 3, {{0, 1, "m-1", "a"}, {1, 1, "m-1", "a"}}));
-  state_cache.Apply(JobChange(Spec("run-2", 2, 2), 4));
+  state_cache.Apply(JobChange(MakeSpec("run-2", 2, 2), 4));
   EXPECT_TRUE(ChooseVictims(state_cache, d,
                             OrderJobs(state_cache, WallTime(), d), WallTime())
                   .empty());
@@ -762,8 +769,8 @@
 
 TEST(Demand, StaysWithinATeamsLimit) {
   StateCache state_cache;
-  Deployment d = OneTeam(0, 10);
-  state_cache.Apply(JobChange(Spec("run-1", 20, 3), 1));
+  Deployment d = DeploymentWithTeam(0, 10);
+  state_cache.Apply(JobChange(MakeSpec("run-1", 20, 3), 1));
   Demand demand =
       MeasureDemand(state_cache, d, {}, WallTime(), 3, std::nullopt);
   EXPECT_EQ(demand.waiting, 3u);
@@ -780,7 +787,7 @@
   Objective objective{"finished", "x", Seconds(100), 0.9};
   d.objectives.push_back(objective);
   Job job;
-  job.record.spec = Spec("run-1", 4, 1);  // runs for 10 s
+  job.record.spec = MakeSpec("run-1", 4, 1);  // runs for 10 s
   auto at = [&](double age) {
     return UrgentFraction(job, WallTime(Seconds(age)), d);
   };
@@ -792,12 +799,12 @@
   EXPECT_EQ(at(0), 1.0);
 }
 
-TEST(Places, FollowTheJobsRules) {
+TEST(Placement, FollowsTheConstraintsOfTheJob) {
   Machine machine;
   machine.zone = "a";
   machine.type = "g8";
   machine.spot = true;
-  JobSpec spec = Spec("run-1", 5, 1);
+  JobSpec spec = MakeSpec("run-1", 5, 1);
   EXPECT_TRUE(Allowed(spec, machine, {}));
   spec.spot = false;
   EXPECT_FALSE(Allowed(spec, machine, {}));
@@ -820,7 +827,7 @@
 // A start is sent in the answer to a heartbeat. If a task is urgent, the time
 // until the machine's next heartbeat counts, not only whether the machine has
 // the image.
-TEST(Places, HurriedTasksGoWhereTheyStartSoonest) {
+TEST(Placement, UrgentTasksGoWhereTheyStartSoonest) {
   Machine image_later;
   image_later.capacity = Resources::FromDecimals(8, 0, 32);
   image_later.images = {"img"};
@@ -829,7 +836,7 @@
   now_without.images.clear();
   now_without.until_heartbeat = Duration(0);
   std::vector<Machine*> machines{&image_later, &now_without};
-  JobSpec spec = Spec("run-1", 1, 1);
+  JobSpec spec = MakeSpec("run-1", 1, 1);
   EXPECT_EQ(ChooseMachine(spec, 1, {}, machines, {}, false), &image_later);
   EXPECT_EQ(ChooseMachine(spec, 1, {}, machines, {}, true), &now_without);
 }
@@ -837,7 +844,7 @@
 // Eight machines with three free processors each are of no use to a job whose
 // tasks need four. Small tasks therefore go first to machines on which no
 // larger task fits.
-TEST(Places, SmallTasksLeaveSlotsForLargerOnes) {
+TEST(Placement, SmallTasksLeaveSlotsForLargerOnes) {
   Machine whole;
   whole.capacity = Resources::FromDecimals(8, 0, 32);
   whole.used = Resources::FromDecimals(4, 0, 4);
@@ -846,7 +853,7 @@
   pieces.spot = false;
   pieces.used = Resources::FromDecimals(5, 0, 5);
   std::vector<Machine*> machines{&whole, &pieces};
-  JobSpec spec = Spec("run-1", 1, 1);
+  JobSpec spec = MakeSpec("run-1", 1, 1);
   int64_t four = Resources::FromDecimal(4);
   EXPECT_EQ(ChooseMachine(spec, 1, {}, machines, {}, false, 0), &whole);
   EXPECT_EQ(ChooseMachine(spec, 1, {}, machines, {}, false, four), &pieces);
@@ -858,37 +865,37 @@
 TEST(CapacityTable, CountsWholeTasks) {
   SteadyTime now{Seconds(10)};
   auto cpus = [](double n) { return Resources::FromDecimal(n); };
-  CapacityTable book(3);
+  CapacityTable table(3);
   FreeCapacity scattered;
   for (int i = 0; i < 8; ++i) scattered.AddMachine(cpus(3), false);
   FreeCapacity whole;
   whole.AddMachine(cpus(8), true);
-  book.Update(0, scattered, now);
-  book.Update(1, whole, now);
-  JobSpec small = Spec("run-1", 4, 1);
-  JobSpec large = Spec("run-2", 4, 4);
-  EXPECT_EQ(book.MostFreeCapacity(small, 2, {}, now),
+  table.Update(0, scattered, now);
+  table.Update(1, whole, now);
+  JobSpec small = MakeSpec("run-1", 4, 1);
+  JobSpec large = MakeSpec("run-2", 4, 4);
+  EXPECT_EQ(table.MostFreeCapacity(small, 2, {}, now),
             std::pair(0u, int64_t{24}));
-  EXPECT_EQ(book.MostFreeCapacity(large, 2, {}, now),
+  EXPECT_EQ(table.MostFreeCapacity(large, 2, {}, now),
             std::pair(1u, int64_t{2}));
   large.spot = false;
-  EXPECT_EQ(book.MostFreeCapacity(large, 2, {}, now),
+  EXPECT_EQ(table.MostFreeCapacity(large, 2, {}, now),
             std::pair(2u, int64_t{0}));
   large.spot = true;
-  book.Reserve(1, large, 2);
-  EXPECT_EQ(book.Tasks(1, large, now), 0);
-  EXPECT_EQ(book.NextWithCapacity(small, 1, now).first, 0u);
-  EXPECT_EQ(book.Tasks(0, small, now + Seconds(3)), 0);
+  table.Reserve(1, large, 2);
+  EXPECT_EQ(table.Tasks(1, large, now), 0);
+  EXPECT_EQ(table.NextWithCapacity(small, 1, now).first, 0u);
+  EXPECT_EQ(table.Tasks(0, small, now + Seconds(3)), 0);
 }
 
 // If such a job were accepted, its record could never be stored.
-TEST(WhyImpossible, NamesADescriptionThatIsTooLong) {
-  Deployment d = OneTeam(0, 0);
+TEST(WhyImpossible, RejectsADescriptionThatIsTooLong) {
+  Deployment d = DeploymentWithTeam(0, 0);
   constexpr size_t kValueBytes = 8192;
   TypesRecord types;
   types.types.push_back({.name = "g8"});
   types.types[0].capacity = Resources::FromDecimals(8, 0, 32);
-  JobSpec spec = Spec("run-1", 4, 1);
+  JobSpec spec = MakeSpec("run-1", 4, 1);
   EXPECT_FALSE(WhyImpossible(spec, d, types, kValueBytes));
   spec.types = std::vector<std::string>(400, "a-long-type-name");
   spec.types->push_back("g8");
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -16,7 +16,7 @@
 
 class HttpServerTest : public ::testing::Test {
  protected:
-  static constexpr size_t kMaxNumber = 3;
+  static constexpr size_t kMaxConnections = 3;
 
   HttpServerTest() : base_(event_base_new()) {
     // Finds a free port: the kernel chooses one, and the probe releases it.
@@ -29,9 +29,9 @@
     close(probe);
     address_ = {"127.0.0.1", ntohs(sin.sin_port)};
     http_server_ = std::make_unique<HttpServer>(
-        base_.get(), address_, kMaxNumber, [this](Command command) {
+        base_.get(), address_, kMaxConnections, [this](Command command) {
           if (auto* poll = std::get_if<PollJob>(&command)) {
-            held_.push_back(poll->request);
+            unanswered_requests_.push_back(poll->request);
           } else if (auto* check = std::get_if<HealthCheck>(&command)) {
             http_server_->Answer({check->request, 200, {}, {}});
           }
@@ -48,12 +48,12 @@
     sockets_.push_back(fd);
     return fd;
   }
-  static void Get(int fd, const std::string& path) {
+  static void SendGet(int fd, const std::string& path) {
     std::string text = "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
     EXPECT_EQ(send(fd, text.data(), text.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(text.size()));
   }
-  void Turn() {
+  void RunEventLoop() {
     for (int turn = 0; turn < 50; ++turn) {
       event_base_loop(base_.get(), EVLOOP_NONBLOCK);
     }
@@ -74,76 +74,77 @@
 
   EventBase base_;
   Address address_;
-  std::vector<RequestId> held_;
+  std::vector<RequestId> unanswered_requests_;
   std::unique_ptr<HttpServer> http_server_;
   std::vector<int> sockets_;
 };
 
 // The other sockets are reserved for the process's own calls. Without them it
 // could no longer reach the state service.
-TEST_F(HttpServerTest, TurnsAwayMoreConnectionsThanItHasSocketsFor) {
-  for (size_t i = 0; i < kMaxNumber; ++i) {
+TEST_F(HttpServerTest, RejectsConnectionsBeyondTheMaximum) {
+  for (size_t i = 0; i < kMaxConnections; ++i) {
     int fd = Connect();
-    Get(fd, "/api/jobs/run-000001");
+    SendGet(fd, "/api/jobs/run-000001");
     EXPECT_EQ(Read(fd), "");
   }
-  ASSERT_EQ(held_.size(), kMaxNumber);
+  ASSERT_EQ(unanswered_requests_.size(), kMaxConnections);
   int extra = Connect();
-  Get(extra, "/api/jobs/run-000001");
+  SendGet(extra, "/api/jobs/run-000001");
   std::string answer = Read(extra);
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 503")) << answer;
   EXPECT_NE(answer.find("Retry-After: 2"), std::string::npos) << answer;
   EXPECT_TRUE(answer.ends_with("<closed>")) << answer;
   // A health check is answered even then.
   int probe = Connect();
-  Get(probe, "/healthz");
+  SendGet(probe, "/healthz");
   EXPECT_TRUE(Read(probe).starts_with("HTTP/1.1 200"));
   close(probe);
   sockets_.pop_back();
   // A connection that has closed makes room for the next.
-  http_server_->Answer({held_.front(), 404, Problem{"none"}, {}});
+  http_server_->Answer(
+      {unanswered_requests_.front(), 404, Problem{"none"}, {}});
   EXPECT_TRUE(Read(sockets_.front()).starts_with("HTTP/1.1 404"));
   close(sockets_.front());
   sockets_.erase(sockets_.begin());
-  Turn();
+  RunEventLoop();
   int next = Connect();
-  Get(next, "/api/jobs/run-000001");
+  SendGet(next, "/api/jobs/run-000001");
   EXPECT_EQ(Read(next), "");
-  EXPECT_EQ(held_.size(), kMaxNumber + 1);
+  EXPECT_EQ(unanswered_requests_.size(), kMaxConnections + 1);
 }
 
 // A connection must free its slot however it ends: closed by the client before,
 // while or after its request is answered, or closed by the server.
-TEST_F(HttpServerTest, EveryEndOfAConnectionFreesItsPlace) {
+TEST_F(HttpServerTest, EveryEndOfAConnectionFreesItsSlot) {
   for (int round = 0; round < 40; ++round) {
     int fd = Connect();
-    if (round % 4 != 0) Get(fd, "/api/jobs/run-000001");
-    if (round % 4 == 1) Turn();
+    if (round % 4 != 0) SendGet(fd, "/api/jobs/run-000001");
+    if (round % 4 == 1) RunEventLoop();
     if (round % 4 == 2) {
       close(fd);
       sockets_.pop_back();
-      Turn();
+      RunEventLoop();
     }
-    for (RequestId id : std::exchange(held_, {})) {
+    for (RequestId id : std::exchange(unanswered_requests_, {})) {
       http_server_->Answer({id, 503, Problem{"later"}, {}, round % 8 == 3});
     }
-    Turn();
+    RunEventLoop();
     if (round % 4 != 2) {
       close(fd);
       sockets_.pop_back();
     }
-    Turn();
-    for (RequestId id : std::exchange(held_, {})) {
+    RunEventLoop();
+    for (RequestId id : std::exchange(unanswered_requests_, {})) {
       http_server_->Answer({id, 404, Problem{"none"}, {}});
     }
-    Turn();
+    RunEventLoop();
   }
-  for (size_t i = 0; i < kMaxNumber; ++i) {
+  for (size_t i = 0; i < kMaxConnections; ++i) {
     int fd = Connect();
-    Get(fd, "/api/jobs/run-000001");
+    SendGet(fd, "/api/jobs/run-000001");
     EXPECT_EQ(Read(fd), "");
   }
-  EXPECT_EQ(held_.size(), kMaxNumber);
+  EXPECT_EQ(unanswered_requests_.size(), kMaxConnections);
 }
 
 }  // namespace
--- a/tests/jobs_test.cc
+++ b/tests/jobs_test.cc
@@ -69,12 +69,12 @@
   void Advance(Duration duration) {
     now_.steady += duration;
     now_.wall += duration;
-    out_.set_now(now_);
+    outbox_.set_now(now_);
   }
 
   // Sorts the effects into answers to clients and calls to the state service.
   void CollectEffects() {
-    for (Effect& effect : out_.TakeEffects()) {
+    for (Effect& effect : outbox_.TakeEffects()) {
       if (auto* reply = std::get_if<Reply>(&effect)) {
         replies_[reply->request] = *reply;
       } else if (auto* call = std::get_if<StateCall>(&effect)) {
@@ -93,7 +93,7 @@
     reply.revision = ++revision_;
     reply.changes = std::move(changes);
     calls_.erase(calls_.begin());
-    out_.Handle(reply);
+    outbox_.Handle(reply);
     CollectEffects();
   }
 
@@ -135,18 +135,18 @@
   const Deployment deployment_ = TestDeployment();
   const Tuning tuning_;
   Now now_;
-  Outbox out_;
+  Outbox outbox_;
   StateCache state_cache_;
   TokenBucket requests_{100, 100};
   TokenBucket writes_{15, 15};
   StateLimits limits_{deployment_};
   CapacityTable capacity_{kPartitionCount};
-  StateWatcher watcher_{tuning_, out_, state_cache_, requests_};
-  JobQueries queries_{out_, state_cache_, watcher_};
-  JobAdmission admission_{deployment_, tuning_, out_,      state_cache_,
+  StateWatcher watcher_{tuning_, outbox_, state_cache_, requests_};
+  JobQueries queries_{outbox_, state_cache_, watcher_};
+  JobAdmission admission_{deployment_, tuning_, outbox_,   state_cache_,
                           watcher_,    limits_, capacity_, kPartitionCount};
   JobChangeQueue queue_{
-      tuning_, out_,
+      tuning_, outbox_,
       StateAccess{state_cache_, watcher_, requests_, writes_, limits_},
       admission_, queries_};
   uint64_t revision_ = 0;
@@ -156,7 +156,7 @@
 
 // ---- Rejections ----
 
-TEST(WhyImpossible, NamesEachReasonInTheWordsOfTheAnswer) {
+TEST(WhyImpossible, GivesTheReasonAndMessageOfEachRejection) {
   struct Case {
     JobSpec spec;
     RejectionReason reason;
@@ -506,7 +506,7 @@
   TokenBucket cloud_{4, 4};
   Context context_{deployment_,
                    tuning_,
-                   out_,
+                   outbox_,
                    state_cache_,
                    watcher_,
                    requests_,
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -40,10 +40,10 @@
         requests_(1000, 1000),
         writes_(1000, 1000),
         cloud_(1000, 1000),
-        state_watcher_(tuning_, out_, state_cache_, requests_),
+        state_watcher_(tuning_, outbox_, state_cache_, requests_),
         context_{.deployment = deployment_,
                  .tuning = tuning_,
-                 .out = out_,
+                 .out = outbox_,
                  .state_cache = state_cache_,
                  .state_watcher = state_watcher_,
                  .requests = requests_,
@@ -56,13 +56,13 @@
                      deployment_, deployment_.label, kIncarnation),
                  .state_limits = StateLimits(deployment_)} {
     now_ = {SteadyTime(Seconds(1000)), WallTime(Seconds(5000))};
-    out_.set_now(now_);
+    outbox_.set_now(now_);
   }
 
   void Advance(Duration by) {
     now_.steady += by;
     now_.wall += by;
-    out_.set_now(now_);
+    outbox_.set_now(now_);
   }
 
   // Performs a read that succeeds at once and returns no changes. The first two
@@ -72,7 +72,7 @@
     state_watcher_.Step();
     std::vector<StateCall> calls = TakeAll<StateCall>();
     ASSERT_EQ(calls.size(), 1u);
-    out_.Handle(StateReply{.call = calls[0].call, .status = 200});
+    outbox_.Handle(StateReply{.call = calls[0].call, .status = 200});
   }
   void LoadState() {
     ReadState();
@@ -106,7 +106,7 @@
   template <typename T>
   std::vector<T> TakeAll() {
     std::vector<T> found;
-    for (Effect& effect : out_.TakeEffects()) {
+    for (Effect& effect : outbox_.TakeEffects()) {
       if (auto* wanted = std::get_if<T>(&effect)) {
         found.push_back(std::move(*wanted));
       }
@@ -124,7 +124,7 @@
 
   Deployment deployment_;
   Tuning tuning_;
-  Outbox out_;
+  Outbox outbox_;
   StateCache state_cache_;
   TokenBucket requests_;
   TokenBucket writes_;
@@ -223,7 +223,7 @@
   Peers peers_{context_};
 };
 
-TEST_F(PeersTest, IgnoresAHeartbeatThatWasHeldBack) {
+TEST_F(PeersTest, IgnoresADelayedHeartbeat) {
   PeerHeartbeat heartbeat = HeartbeatFrom("node-1");
   heartbeat.cancelled = {"job-1"};
   Advance(Millis(2501));
@@ -260,7 +260,7 @@
   EXPECT_TRUE(peers_.HeartbeatDue(0));
 }
 
-TEST_F(PeersTest, TellsItsStatus) {
+TEST_F(PeersTest, HeartbeatCarriesTheLocalStatus) {
   ASSERT_TRUE(Send());
   Advance(Seconds(3));
   FreeCapacity free;
@@ -287,7 +287,7 @@
   EXPECT_EQ(context_.capacity_table.Tasks(1, spec, now_.steady), 4);
 }
 
-TEST_F(PeersTest, EchoesLivePeersWithWhatTheOneBehindDoesNotKnow) {
+TEST_F(PeersTest, EchoesLivePeersAndSendsCancellationsThatOneOfThemLacks) {
   uint64_t before = StoreCancelledJob("job-1");
   StoreCancelledJob("job-2");
   PeerHeartbeat ahead = HeartbeatFrom("node-1");
@@ -344,7 +344,7 @@
   EXPECT_FALSE(peers_.Healthy());
 }
 
-TEST_F(PeersTest, KnowsTheUsageOfPeersHeardLately) {
+TEST_F(PeersTest, KnowsTheUsageOfLivePeersOnly) {
   PeerHeartbeat heartbeat = HeartbeatFrom("node-1");
   heartbeat.requests = 3;
   heartbeat.writes = 2;
@@ -407,7 +407,7 @@
   MisroutedWorkers misrouted_{context_, ownership_, peers_};
 };
 
-TEST_F(MisroutedWorkersTest, SendsAWorkerToTheOwnerIfOneIsKnown) {
+TEST_F(MisroutedWorkersTest, RedirectsAWorkerToTheOwnerIfOneIsKnown) {
   LoadState();
   EXPECT_EQ(HeartbeatOf("m-1", 1).status, 503);
   StoreNode("node-1", "b");
@@ -420,7 +420,7 @@
   EXPECT_EQ(HeartbeatOf("m-1", 1).status, 503);
 }
 
-TEST_F(MisroutedWorkersTest, SendsManyThatHaveLostTheOwnerAnywhere) {
+TEST_F(MisroutedWorkersTest, RedirectNamesNoOwnerIfManyWorkersHaveLostIt) {
   LoadState();
   StoreNode("node-1", "b");
   uint64_t fencing_token = StoreOwner(1, "node-1", "b");
@@ -492,7 +492,8 @@
     std::optional<StateCall> call = TakeCall();
     ASSERT_TRUE(call);
     ASSERT_TRUE(std::holds_alternative<Grant>(call->request));
-    out_.Handle(StateReply{.call = call->call, .status = 200, .lease = lease});
+    outbox_.Handle(
+        StateReply{.call = call->call, .status = 200, .lease = lease});
   }
 
   NodeRegistration registration_{context_};
@@ -519,13 +520,13 @@
   registration_.KeepLease();
   std::optional<StateCall> call = TakeCall();
   ASSERT_TRUE(call);
-  out_.Handle(StateReply{.call = call->call, .status = 0});
+  outbox_.Handle(StateReply{.call = call->call, .status = 0});
   Advance(Millis(150));
   registration_.KeepLease();
   call = TakeCall();
   ASSERT_TRUE(call);
   ASSERT_TRUE(std::holds_alternative<Renew>(call->request));
-  out_.Handle(StateReply{.call = call->call, .status = 404});
+  outbox_.Handle(StateReply{.call = call->call, .status = 404});
   Advance(Millis(150));
   registration_.KeepLease();
   call = TakeCall();
@@ -572,7 +573,7 @@
  protected:
   // Runs the component once. Returns the change of the owner of `partition`
   // that it sends, or null if it sends none.
-  std::optional<Transaction> StepAndTakeChangeOf(uint32_t partition) {
+  std::optional<Transaction> RunAndTakeOwnerChange(uint32_t partition) {
     ownership_.Step();
     for (StateCall& call : TakeAll<StateCall>()) {
       auto* txn = std::get_if<Transaction>(&call.request);
@@ -596,7 +597,7 @@
   StoreNode("node-2", "c");
   StoreOwner(1, "node-1", "b");
   uint64_t dead = StoreOwner(0, "node-1", "earlier");
-  std::optional<Transaction> change = StepAndTakeChangeOf(0);
+  std::optional<Transaction> change = RunAndTakeOwnerChange(0);
   ASSERT_TRUE(change);
   ASSERT_EQ(change->conditions.size(), 2u);
   EXPECT_EQ(change->conditions[0].mod_revision, dead);
@@ -605,29 +606,29 @@
   // node-2 is the preferred owner of partition 2. Other controllers leave it
   // the partition for 1.5 s.
   Advance(Millis(1499));
-  EXPECT_FALSE(StepAndTakeChangeOf(2));
+  EXPECT_FALSE(RunAndTakeOwnerChange(2));
   Advance(Millis(1));
-  EXPECT_TRUE(StepAndTakeChangeOf(2));
+  EXPECT_TRUE(RunAndTakeOwnerChange(2));
 }
 
 TEST_F(OwnershipTest, WaitsForAReadBeforeItAsksAgain) {
   LoadState();
   StoreNode("node-0", kIncarnation);
-  ASSERT_TRUE(StepAndTakeChangeOf(0));
-  EXPECT_FALSE(StepAndTakeChangeOf(0));
-  out_.Handle(StateReply{.call = last_change_, .status = 0});
-  EXPECT_FALSE(StepAndTakeChangeOf(0));
+  ASSERT_TRUE(RunAndTakeOwnerChange(0));
+  EXPECT_FALSE(RunAndTakeOwnerChange(0));
+  outbox_.Handle(StateReply{.call = last_change_, .status = 0});
+  EXPECT_FALSE(RunAndTakeOwnerChange(0));
   ReadState();
-  EXPECT_TRUE(StepAndTakeChangeOf(0));
+  EXPECT_TRUE(RunAndTakeOwnerChange(0));
 }
 
 TEST_F(OwnershipTest, TakesNothingOverBeforeItIsRegistered) {
   LoadState();
-  EXPECT_FALSE(StepAndTakeChangeOf(0));
+  EXPECT_FALSE(RunAndTakeOwnerChange(0));
   Advance(Millis(1600));  // longer than any delay, and the state still fresh
-  EXPECT_FALSE(StepAndTakeChangeOf(0));
+  EXPECT_FALSE(RunAndTakeOwnerChange(0));
   StoreNode("node-0", kIncarnation);
-  EXPECT_TRUE(StepAndTakeChangeOf(0));
+  EXPECT_TRUE(RunAndTakeOwnerChange(0));
 }
 
 TEST_F(OwnershipTest, HandsBackToAControllerThatHasBeenUpForAWhile) {
@@ -638,9 +639,9 @@
   EXPECT_EQ(ownership_.FencingTokenOf(1), fencing_token);
   EXPECT_EQ(ownership_.OwnerOf(1), "node-0");
   tuning_.handover_after = Seconds(1);
-  EXPECT_FALSE(StepAndTakeChangeOf(1));
+  EXPECT_FALSE(RunAndTakeOwnerChange(1));
   Advance(Seconds(1));
-  std::optional<Transaction> change = StepAndTakeChangeOf(1);
+  std::optional<Transaction> change = RunAndTakeOwnerChange(1);
   ASSERT_TRUE(change);
   const auto& record = std::get<PartitionRecord>(*change->writes[0].value);
   EXPECT_EQ(record.label, "node-1");
@@ -653,12 +654,12 @@
   StoreNode("node-0", kIncarnation);
   StoreNode("node-1", "b");
   Store(keys::Partition(1), PartitionRecord{"node-0", kIncarnation, "node-1"});
-  EXPECT_FALSE(StepAndTakeChangeOf(1));
+  EXPECT_FALSE(RunAndTakeOwnerChange(1));
   Advance(Millis(59499));
   ReadState();
-  EXPECT_FALSE(StepAndTakeChangeOf(1));
+  EXPECT_FALSE(RunAndTakeOwnerChange(1));
   Advance(Millis(1));
-  EXPECT_TRUE(StepAndTakeChangeOf(1));
+  EXPECT_TRUE(RunAndTakeOwnerChange(1));
 }
 
 TEST_F(OwnershipTest, DoesNotHandOverWhatItDoesNotOwnOrToNobody) {
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -10,7 +10,7 @@
 namespace pitchfall::cli {
 namespace {
 
-const char kGood[] = R"(
+const char kValidDeployment[] = R"(
 label = "node-0"
 site = "a"
 front = "127.0.0.1:8080"
@@ -44,7 +44,7 @@
 rps = 8.0
 )";
 
-std::string Why(const std::string& text) {
+std::string DeploymentErrorFor(const std::string& text) {
   try {
     ParseDeployment(text, "node.toml");
   } catch (const SettingsError& problem) {
@@ -53,15 +53,15 @@
   return "";
 }
 
-std::string Replaced(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+std::string WithReplacement(const std::string& from, const std::string& to) {
+  std::string text = kValidDeployment;
   size_t at = text.find(from);
   EXPECT_NE(at, std::string::npos);
   return text.replace(at, from.size(), to);
 }
 
-TEST(DeploymentFile, GoodOneIsRead) {
-  Deployment d = ParseDeployment(kGood, "node.toml");
+TEST(DeploymentFile, ReadsAValidFile) {
+  Deployment d = ParseDeployment(kValidDeployment, "node.toml");
   EXPECT_EQ(d.label, "node-0");
   ASSERT_EQ(d.peers.size(), 1u);
   EXPECT_EQ(d.peers[0].address, "127.0.0.2:8081");
@@ -74,21 +74,24 @@
 
 // An objective for work within a team's guarantee names no class.
 TEST(DeploymentFile, TakesAnObjectiveForAllClasses) {
-  Deployment d = ParseDeployment(Replaced("class = \"x\"\n", ""), "node.toml");
+  Deployment d =
+      ParseDeployment(WithReplacement("class = \"x\"\n", ""), "node.toml");
   ASSERT_EQ(d.objectives.size(), 1u);
   EXPECT_EQ(d.objectives[0].job_class, "");
-  EXPECT_EQ(Why(Replaced("class = \"x\"", "class = \"\"")),
-            "node.toml: cluster.objectives[0].class must not be empty");
+  EXPECT_EQ(
+      DeploymentErrorFor(WithReplacement("class = \"x\"", "class = \"\"")),
+      "node.toml: cluster.objectives[0].class must not be empty");
 }
 
 // Announced limits apply from the start if they are stricter than the present
 // ones. Limits that the announcement does not name stay as they are, and
 // unknown names are ignored.
 TEST(DeploymentFile, ReadsAnnouncedLimitsOfTheStateService) {
-  Deployment d = ParseDeployment(kGood, "node.toml");
+  Deployment d = ParseDeployment(kValidDeployment, "node.toml");
   EXPECT_FALSE(d.state_next);
   EXPECT_EQ(d.StrictestStateLimits().value_kb, 8);
-  const std::string next = std::string(kGood) + "[cluster.state.next]\n";
+  const std::string next =
+      std::string(kValidDeployment) + "[cluster.state.next]\n";
   d = ParseDeployment(next + "value_kb = 2.0\nwrite_rps = 20.0\nshards = 7\n",
                       "node.toml");
   ASSERT_TRUE(d.state_next);
@@ -97,38 +100,44 @@
   EXPECT_EQ(strictest.txn_ops, 8u);
   EXPECT_EQ(strictest.write_rps, 15);
   EXPECT_EQ(strictest.rps, 100);
-  EXPECT_EQ(Why(next + "value_kb = 1.0\n"),
+  EXPECT_EQ(DeploymentErrorFor(next + "value_kb = 1.0\n"),
             "node.toml: cluster.state.next.value_kb must be from 2 to "
             "1000000000");
-  EXPECT_EQ(Why(next + "txn_ops = \"few\"\n"),
+  EXPECT_EQ(DeploymentErrorFor(next + "txn_ops = \"few\"\n"),
             "node.toml: cluster.state.next.txn_ops must be a number");
 }
 
-TEST(DeploymentFile, SaysFileKeyAndReason) {
-  EXPECT_EQ(Why(Replaced("label = \"node-0\"", "")),
+TEST(DeploymentFile, ErrorNamesFileKeyAndReason) {
+  EXPECT_EQ(DeploymentErrorFor(WithReplacement("label = \"node-0\"", "")),
             "node.toml: label is missing");
-  EXPECT_EQ(Why(Replaced("report_s = 1.5", "report_s = \"soon\"")),
+  EXPECT_EQ(DeploymentErrorFor(
+                WithReplacement("report_s = 1.5", "report_s = \"soon\"")),
             "node.toml: cluster.workers.report_s must be a number");
-  EXPECT_EQ(Why(Replaced("cancel_s = 30.0", "cancel_s = 5.0")),
-            "node.toml: cluster.workers.cancel_s must be more than lease_s");
-  EXPECT_EQ(Why(Replaced("cpus = 0.1", "cpus = -4")),
+  EXPECT_EQ(
+      DeploymentErrorFor(WithReplacement("cancel_s = 30.0", "cancel_s = 5.0")),
+      "node.toml: cluster.workers.cancel_s must be more than lease_s");
+  EXPECT_EQ(DeploymentErrorFor(WithReplacement("cpus = 0.1", "cpus = -4")),
             "node.toml: cluster.teams[0].cpus must be from 0 to 1000000000");
   // Limits under which the program cannot work: a value too small for any
   // record, a transaction too small for a change, no sockets beyond those for
   // the peers.
-  EXPECT_EQ(Why(Replaced("value_kb = 8.0", "value_kb = 1.9")),
-            "node.toml: cluster.state.value_kb must be from 2 to 1000000000");
-  EXPECT_EQ(Why(Replaced("txn_ops = 8", "txn_ops = 1")),
+  EXPECT_EQ(
+      DeploymentErrorFor(WithReplacement("value_kb = 8.0", "value_kb = 1.9")),
+      "node.toml: cluster.state.value_kb must be from 2 to 1000000000");
+  EXPECT_EQ(DeploymentErrorFor(WithReplacement("txn_ops = 8", "txn_ops = 1")),
             "node.toml: cluster.state.txn_ops must be from 2 to 1000000");
-  EXPECT_EQ(Why(std::string(kGood) + "[cluster.resources]\nsockets = 99\n"),
+  EXPECT_EQ(DeploymentErrorFor(std::string(kValidDeployment) +
+                               "[cluster.resources]\nsockets = 99\n"),
             "node.toml: cluster.resources.sockets must be from 100 to 1000000");
-  EXPECT_NE(Why(Replaced("127.0.0.1:8080", "nowhere")).find("front"),
+  EXPECT_NE(DeploymentErrorFor(WithReplacement("127.0.0.1:8080", "nowhere"))
+                .find("front"),
             std::string::npos);
-  EXPECT_NE(Why(Replaced("[services]", "[services")).find("node.toml:10"),
+  EXPECT_NE(DeploymentErrorFor(WithReplacement("[services]", "[services"))
+                .find("node.toml:10"),
             std::string::npos);
 }
 
-std::string WhyTuning(const std::string& text) {
+std::string TuningErrorFor(const std::string& text) {
   try {
     ParseTuning(text, "ops.sexp");
   } catch (const SettingsError& problem) {
@@ -137,7 +146,7 @@
   return "";
 }
 
-TEST(TuningFile, EverythingIsOptional) {
+TEST(TuningFile, EverySettingIsOptional) {
   EXPECT_EQ(ParseTuning("", "ops.sexp").node_lease, Tuning().node_lease);
   Tuning tuning = ParseTuning(
       "; a comment with (parentheses\n(node-lease 2.5)\n(parts 1) (horizon 4)",
@@ -147,23 +156,25 @@
   EXPECT_EQ(tuning.horizon, 4u);
 }
 
-TEST(TuningFile, SaysFileLineAndReason) {
-  EXPECT_EQ(WhyTuning("(parts 1)\n(colour 3)"),
+TEST(TuningFile, ErrorNamesFileLineAndReason) {
+  EXPECT_EQ(TuningErrorFor("(parts 1)\n(colour 3)"),
             "ops.sexp:2: unknown setting 'colour'");
-  EXPECT_EQ(WhyTuning("\n(parts 65)"),
+  EXPECT_EQ(TuningErrorFor("\n(parts 65)"),
             "ops.sexp:2: parts must be from 0 to 64");
-  EXPECT_EQ(WhyTuning("(parts many)"),
+  EXPECT_EQ(TuningErrorFor("(parts many)"),
             "ops.sexp:1: parts: 'many' is not a number");
-  EXPECT_EQ(WhyTuning("(parts nan)"),
+  EXPECT_EQ(TuningErrorFor("(parts nan)"),
             "ops.sexp:1: parts: 'nan' is not a number");
-  EXPECT_EQ(WhyTuning("(parts)"), "ops.sexp:1: parts takes one number");
-  EXPECT_EQ(WhyTuning("(parts 1 2)"), "ops.sexp:1: parts takes one number");
-  EXPECT_EQ(WhyTuning("(parts (1))"), "ops.sexp:1: parts takes one number");
-  EXPECT_EQ(WhyTuning("\n\n(parts 1"),
+  EXPECT_EQ(TuningErrorFor("(parts)"), "ops.sexp:1: parts takes one number");
+  EXPECT_EQ(TuningErrorFor("(parts 1 2)"),
+            "ops.sexp:1: parts takes one number");
+  EXPECT_EQ(TuningErrorFor("(parts (1))"),
+            "ops.sexp:1: parts takes one number");
+  EXPECT_EQ(TuningErrorFor("\n\n(parts 1"),
             "ops.sexp:3: the parenthesis opened here is not closed");
-  EXPECT_NE(WhyTuning("parts 1").find("ops.sexp:1: expected a setting"),
+  EXPECT_NE(TuningErrorFor("parts 1").find("ops.sexp:1: expected a setting"),
             std::string::npos);
-  EXPECT_NE(WhyTuning("()").find("ops.sexp:1: not a setting"),
+  EXPECT_NE(TuningErrorFor("()").find("ops.sexp:1: not a setting"),
             std::string::npos);
 }
 
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -30,7 +30,7 @@
   EXPECT_FALSE(limits.Reduced());
 }
 
-TEST(StateLimits, TheSmallerOfPresentAndAnnouncedOnesHolds) {
+TEST(StateLimits, AreTheSmallerOfPresentAndAnnouncedOnes) {
   Deployment deployment;
   deployment.state.value_kb = 64;
   deployment.state.txn_ops = 16;
@@ -53,7 +53,7 @@
   EXPECT_EQ(limits.Operations(), 4u);
 }
 
-TEST(StateLimits, ReturnStepByStepAsWritesPass) {
+TEST(StateLimits, AreRestoredInStepsAsWritesSucceed) {
   StateLimits limits = LimitsOf(8, 64);
   limits.OnRefused();
   limits.OnRefused();
@@ -65,7 +65,7 @@
   EXPECT_FALSE(limits.Reduced());
 }
 
-TEST(StateLimits, RefusalStartsTheCountOfPassingWritesAnew) {
+TEST(StateLimits, RefusalResetsTheCountOfSuccessfulWrites) {
   StateLimits limits = LimitsOf(8, 64);
   limits.OnRefused();
   Accept(limits, 199);
--- a/tests/state_watcher_test.cc
+++ b/tests/state_watcher_test.cc
@@ -26,7 +26,7 @@
   }
 
   // Runs the watcher once and returns the read that it starts, if any.
-  std::optional<StateCall> Step() {
+  std::optional<StateCall> RunAndTakeRead() {
     watcher_.Step();
     for (const Effect& effect : outbox_.TakeEffects()) {
       if (const auto* call = std::get_if<StateCall>(&effect)) return *call;
@@ -36,10 +36,10 @@
 
   // Lets time pass until the watcher starts its next read, and returns it.
   StateCall NextRead() {
-    std::optional<StateCall> call = Step();
+    std::optional<StateCall> call = RunAndTakeRead();
     while (!call) {
       AdvanceTime(Millis(10));
-      call = Step();
+      call = RunAndTakeRead();
     }
     return *call;
   }
@@ -66,7 +66,7 @@
   StateWatcher watcher_{tuning_, outbox_, cache_, requests_};
 };
 
-TEST_F(StateWatcherTest, IsCurrentOnlyAfterTheWatchReadBehindTheList) {
+TEST_F(StateWatcherTest, IsCurrentOnlyAfterTheWatchReadThatFollowsTheList) {
   StateCall list = NextRead();
   EXPECT_TRUE(std::holds_alternative<ListRead>(list.request));
   Answer(list, 200, 100);
@@ -118,14 +118,14 @@
   Load();
   Answer(NextRead(), 200, 101);
   AdvanceTime(Millis(199));
-  EXPECT_FALSE(Step());
+  EXPECT_FALSE(RunAndTakeRead());
   watcher_.RequestRead();
-  std::optional<StateCall> requested = Step();
+  std::optional<StateCall> requested = RunAndTakeRead();
   ASSERT_TRUE(requested);
-  EXPECT_FALSE(Step());  // only one read at a time
+  EXPECT_FALSE(RunAndTakeRead());  // only one read at a time
   Answer(*requested, 200, 102);
   AdvanceTime(Millis(200));
-  EXPECT_TRUE(Step());
+  EXPECT_TRUE(RunAndTakeRead());
 }
 
 }  // namespace
