--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -335,6 +335,8 @@
 
 // ---- Random bytes ----
 
+// Returns `body` after one to four random changes, each of which replaces a
+// byte, removes up to four bytes or inserts one.
 std::string Mutate(std::string body, std::mt19937& random) {
   for (uint32_t n = 1 + random() % 4; n > 0 && !body.empty(); --n) {
     size_t at = random() % body.size();
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -47,6 +47,9 @@
   return {keys::Job(spec.id), record, mod_revision};
 }
 
+// Returns the change that stores one chunk in a segment of partition 0, in the
+// slot that follows from the revision. Tasks 0 to `done` - 1 of the job are
+// recorded as done.
 Change ChunkChange(const std::string& id, uint32_t chunk, uint64_t mod_revision,
                    std::vector<Assignment> assigned, uint32_t done = 0) {
   ChunkRecord record;
@@ -58,6 +61,9 @@
 
 // ---- Outcomes of attempts ----
 
+// A machine whose newest heartbeat is number 10 of agent epoch 2, and a task
+// whose attempt 3 is bound to it. The heartbeat reports no tasks until a test
+// adds them.
 class AttemptOutcomeTest : public ::testing::Test {
  protected:
   AttemptOutcomeTest() {
@@ -105,7 +111,7 @@
 
 TEST_F(AttemptOutcomeTest, StartMissingFromANewerHeartbeatWasNotCarriedOut) {
   task_.start_sent = HeartbeatId{2, 9};
-  EXPECT_EQ(Classify(true), AttemptOutcome::kBound);  // sent again
+  EXPECT_EQ(Classify(true), AttemptOutcome::kBound);  // the start is sent again
   EXPECT_EQ(Classify(false), AttemptOutcome::kGone);
 }
 
@@ -175,7 +181,7 @@
   };
   EXPECT_EQ(grace(88), Seconds(6));   // 12 s of work since the start
   EXPECT_EQ(grace(97), Duration(0));  // 3 s of work
-  EXPECT_EQ(grace(57), Duration(0));  // 3 s since its second checkpoint
+  EXPECT_EQ(grace(57), Duration(0));  // 3 s of work since the second checkpoint
   task_.stop_without_saving = true;
   EXPECT_EQ(grace(88), Duration(0));
 }
@@ -597,6 +603,8 @@
 
 // ---- Order, preemption, demand, placement ----
 
+// Returns a deployment with the team "red". Both arguments count processors; a
+// limit of 0 means that there is none.
 Deployment DeploymentWithTeam(double guaranteed, double limit) {
   Deployment d;
   Team team;
@@ -633,6 +641,8 @@
                                              "run-4"}));
 }
 
+// Returns the ids of the open jobs in their order `now_s` seconds after the
+// epoch.
 std::vector<std::string> OrderAt(const StateCache& state_cache, double now_s,
                                  const Deployment& d) {
   std::vector<std::string> order;
@@ -648,7 +658,7 @@
   StateCache state_cache;
   Deployment d = DeploymentWithTeam(0, 10);
   auto add = [&](const char* id, uint32_t tasks, double due) {
-    JobSpec spec = MakeSpec(id, tasks, 1);  // 10 s each, 10 at once
+    JobSpec spec = MakeSpec(id, tasks, 1);  // each task runs 10 s, 10 at once
     spec.deadline = Seconds(due);
     state_cache.Apply(JobChange(spec, 1));
   };
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -14,6 +14,9 @@
 namespace pitchfall::io {
 namespace {
 
+// A server with a small limit on connections on a free loopback port. It
+// answers health checks at once, and polls of jobs only when a test answers
+// them.
 class HttpServerTest : public ::testing::Test {
  protected:
   static constexpr size_t kMaxConnections = 3;
--- a/tests/jobs_test.cc
+++ b/tests/jobs_test.cc
@@ -97,7 +97,7 @@
     CollectEffects();
   }
 
-  // Lets the watcher read the state service once.
+  // Lets the watcher read the state service once and answers with `changes`.
   void Read(int status, std::vector<Change> changes = {}) {
     Advance(Millis(300));
     watcher_.Step();
@@ -115,6 +115,8 @@
     return {keys::Job(spec.id), record, ++revision_};
   }
 
+  // Returns the status of the answer to the request, or kNoAnswer if none has
+  // been sent.
   int StatusOf(RequestId request) {
     CollectEffects();
     auto reply = replies_.find(request);
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -511,7 +511,7 @@
   EXPECT_EQ(std::get<Renew>(call->request).lease, 9u);
   EXPECT_EQ(call->timeout, tuning_.node_lease / 4);
   registration_.KeepLease();
-  EXPECT_FALSE(TakeCall());  // one is under way
+  EXPECT_FALSE(TakeCall());  // a renewal is under way
 }
 
 TEST_F(NodeRegistrationTest, RetriesAFailedRenewalAndReplacesALostLease) {
@@ -603,8 +603,8 @@
   EXPECT_EQ(change->conditions[0].mod_revision, dead);
   EXPECT_EQ(change->conditions[1].key, keys::Node("node-1", "earlier"));
   EXPECT_EQ(change->conditions[1].mod_revision, 0u);
-  // node-2 is the preferred owner of partition 2. Other controllers leave it
-  // the partition for 1.5 s.
+  // node-2 is the preferred owner of partition 2, which never had an owner.
+  // Other controllers leave it to node-2 for 1.5 s.
   Advance(Millis(1499));
   EXPECT_FALSE(RunAndTakeOwnerChange(2));
   Advance(Millis(1));
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -44,6 +44,8 @@
 rps = 8.0
 )";
 
+// Returns the error message for this deployment file, or an empty string if it
+// is accepted.
 std::string DeploymentErrorFor(const std::string& text) {
   try {
     ParseDeployment(text, "node.toml");
@@ -53,6 +55,8 @@
   return "";
 }
 
+// Returns the valid deployment file with the first occurrence of `from`
+// replaced.
 std::string WithReplacement(const std::string& from, const std::string& to) {
   std::string text = kValidDeployment;
   size_t at = text.find(from);
@@ -137,6 +141,8 @@
             std::string::npos);
 }
 
+// Returns the error message for this tuning file, or an empty string if it is
+// accepted.
 std::string TuningErrorFor(const std::string& text) {
   try {
     ParseTuning(text, "ops.sexp");
--- a/tests/state_watcher_test.cc
+++ b/tests/state_watcher_test.cc
@@ -16,6 +16,7 @@
 namespace pitchfall {
 namespace {
 
+// A state watcher with a clock that only the test advances.
 class StateWatcherTest : public ::testing::Test {
  protected:
   StateWatcherTest() { AdvanceTime(Millis(1000000)); }
