--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -1,4 +1,5 @@
-// The decoders on good, bad and random input, and records there and back.
+// Tests the decoders with valid, invalid and random input, and that records and
+// peer heartbeats survive encoding and decoding.
 #include "wire/codec.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,8 @@
 namespace pitchfall::wire {
 namespace {
 
-// A valid submission with one field replaced or left out.
+// Returns a valid submission, with `field` set by `value`, or left out if
+// `value` is empty. An empty `field` changes nothing.
 std::string Submission(const std::string& field = "",
                        const std::function<void(Packer&)>& value = {}) {
   Packer out;
@@ -49,7 +51,7 @@
   return out.Take();
 }
 
-TEST(Submission, GoodOneIsUnderstood) {
+TEST(Submission, ValidOneIsDecoded) {
   auto spec = DecodeSubmission(Submission()).value;
   ASSERT_TRUE(spec);
   EXPECT_EQ(spec->id, "run-000412");
@@ -67,7 +69,7 @@
   Value text = [](Packer& p) { p.Value("x"); };
   Value negative = [](Packer& p) { p.Value(-1); };
   Value nan = [](Packer& p) { p.Value(std::nan("")); };
-  Value endless = [](Packer& p) {
+  Value infinity = [](Packer& p) {
     p.Value(std::numeric_limits<double>::infinity());
   };
   Value huge = [](Packer& p) { p.Value(1e300); };
@@ -89,7 +91,7 @@
                                                {"legs", decimal},
                                                {"vcpus", negative},
                                                {"vcpus", nan},
-                                               {"vcpus", endless},
+                                               {"vcpus", infinity},
                                                {"vcpus", huge},
                                                {"vcpus", text},
                                                {"mem_gb", negative},
@@ -108,8 +110,8 @@
   }
 }
 
-// A standing job has neither a run time nor a due time; its fields are required
-// like those of any other.
+// A standing job has neither a run time nor a deadline. The fields for run time
+// and checkpoints are required all the same.
 TEST(Submission, StandingJobsAreChecked) {
   using Fields = std::map<std::string, double>;
   auto submit = [](uint32_t legs, const Fields& times) {
@@ -145,7 +147,7 @@
 TEST(Submission, NullEqualsAbsentAndUnknownIsIgnored) {
   Packer extra;
   std::string body = Submission();
-  body[0] = static_cast<char>(0x80 | 15);  // one more pair
+  body[0] = static_cast<char>(0x80 | 15);  // the map holds one more pair
   extra.Raw(body).Key("rigs").Null();
   EXPECT_TRUE(DecodeSubmission(extra.Take()).value);
   Packer unknown;
@@ -153,14 +155,15 @@
   EXPECT_TRUE(DecodeSubmission(unknown.Take()).value);
 }
 
-TEST(Submission, NoMapOrGarbage) {
+TEST(Submission, GarbageAndOtherTypesThanMapsAreRefused) {
   EXPECT_FALSE(DecodeSubmission("").value);
   EXPECT_FALSE(DecodeSubmission("\x93\x01\x02\x03").value);
   EXPECT_FALSE(DecodeSubmission("{\"uid\":1}").value);
   EXPECT_FALSE(DecodeSubmission(Submission() + "x").value);
 }
 
-// Headers that promise more than the body holds must not be believed.
+// A header may announce more elements than the body holds, and must not be
+// trusted.
 TEST(Submission, HugeCountsAndDeepNestingAreRefused) {
   EXPECT_FALSE(DecodeSubmission(std::string("\xdf\xff\xff\xff\xff", 5)).value);
   EXPECT_FALSE(DecodeSubmission(std::string("\xdd\xff\xff\xff\xff", 5)).value);
@@ -168,7 +171,7 @@
   EXPECT_FALSE(DecodeSubmission(std::string(60000, '\x81')).value);
 }
 
-TEST(JobIds, HaveOneForm) {
+TEST(JobIds, OnlyTheRunFormIsValid) {
   EXPECT_TRUE(ValidJobId("run-000412"));
   EXPECT_TRUE(ValidJobId("run-12345678"));
   for (const char* id : {"", "run-", "run-00x", "job-000412", "run-0004/2",
@@ -177,7 +180,7 @@
   }
 }
 
-TEST(Heartbeat, IsUnderstood) {
+TEST(Heartbeat, IsDecoded) {
   Packer out;
   out.Map(9).Pair("tine", "m-000231").Pair("addr", "10.1.0.232:9000");
   out.Pair("rig", "g8").Pair("yard", "a").Pair("loaners", true);
@@ -224,14 +227,15 @@
   return chunk;
 }
 
-// The size in the JSON form in which the service counts.
+// Returns the size of the record as JSON, the form in which the state service
+// counts.
 size_t JsonSize(const std::string& packed) {
   std::ostringstream text;
   text << msgpack::unpack(packed.data(), packed.size()).get();
   return text.str().size();
 }
 
-TEST(Records, SegmentsComeBackAsTheyWere) {
+TEST(Records, SegmentsRoundTrip) {
   std::mt19937 random(5);
   for (int round = 0; round < 100; ++round) {
     SegmentFiller filler(100000);
@@ -259,7 +263,7 @@
   }
 }
 
-TEST(Records, JobsComeBackAsTheyWere) {
+TEST(Records, JobsRoundTrip) {
   JobRecord job;
   job.spec = *DecodeSubmission(Submission()).value;
   job.spec.types = std::vector<std::string>{"g8", "g9"};
@@ -277,7 +281,7 @@
 }
 
 // The largest chunk, with each task on a machine of its own, must fit the
-// smallest value the state service takes (8 KiB in the deployments so far).
+// smallest value limit of the state service (8 KiB in the deployments so far).
 TEST(Records, LargestChunkFitsASegment) {
   ChunkRecord chunk;
   for (uint32_t task = 0; task < kMaxInChunkVersion1; ++task) {
@@ -289,8 +293,8 @@
   EXPECT_TRUE(filler.Add({"run-12345678901234567890", 63, chunk}));
 }
 
-// Bounds counted in advance hold for what is stored: a job's record in any
-// state, and a chunk's while its tasks end in any order.
+// Size bounds computed in advance hold for what is stored: a job's record in
+// any state, and a chunk's entry while its tasks end in any order.
 TEST(Records, SizesAreBoundedInAdvance) {
   JobRecord job;
   job.spec = *DecodeSubmission(Submission()).value;
@@ -331,6 +335,8 @@
 
 // ---- Random bytes ----
 
+// Returns `body` after one to four random changes, each of which replaces a
+// byte, removes up to four bytes or inserts one.
 std::string Mutate(std::string body, std::mt19937& random) {
   for (uint32_t n = 1 + random() % 4; n > 0 && !body.empty(); --n) {
     size_t at = random() % body.size();
@@ -349,7 +355,7 @@
   return body;
 }
 
-TEST(Fuzz, NoDecoderTrustsItsInput) {
+TEST(Fuzz, DecodersWithstandMutatedInput) {
   std::mt19937 random(20261201);
   const std::string submission = Submission();
   PeerHeartbeat peer_heartbeat;
@@ -369,11 +375,11 @@
   heartbeat_out.Map(3).Pair("leg", "run-1/0").Pair("try", 1);
   heartbeat_out.Pair("status", "running");
   const std::string heartbeat = heartbeat_out.Take();
-  int understood = 0;
+  int accepted = 0;
   for (int round = 0; round < 20000; ++round) {
     auto spec = DecodeSubmission(Mutate(submission, random));
     if (spec.value) {
-      ++understood;
+      ++accepted;
       EXPECT_TRUE(ValidJobId(spec.value->id));
       EXPECT_GE(spec.value->tasks, 1u);
       EXPECT_LE(spec.value->tasks, 100000u);
@@ -395,10 +401,10 @@
     DecodeState(WatchRead{}, 200, Mutate(record, random));
     DecodeCloud(ListMachines{}, 200, Mutate(heartbeat, random));
   }
-  EXPECT_GT(understood, 0);
+  EXPECT_GT(accepted, 0);
 }
 
-TEST(PeerHeartbeat, ComesBackAsItWas) {
+TEST(PeerHeartbeat, RoundTrips) {
   PeerHeartbeat heartbeat;
   heartbeat.label = "node-1";
   heartbeat.incarnation = "00ff";
@@ -435,13 +441,13 @@
   EXPECT_EQ(back->tokens, heartbeat.tokens);
 }
 
-TEST(PeerHeartbeat, SizeOfNothingIsAsked) {
+TEST(PeerHeartbeat, EmptyInputNeedsEightBytes) {
   EXPECT_EQ(PeerHeartbeatSize({}), 8u);
 }
 
-// A platform's answer that cannot be read is no answer: whether the request was
-// carried out is unknown.
-TEST(StateReplies, UnreadableOnesCountAsNone) {
+// An unreadable answer counts as no answer: whether the request was carried out
+// is unknown.
+TEST(StateReplies, UnreadableOneCountsAsNoAnswer) {
   EXPECT_EQ(DecodeState(Transaction{}, 200, "").status, 0);
   EXPECT_EQ(DecodeState(WatchRead{}, 200, "\xc1").status, 0);
   EXPECT_EQ(DecodeState(Renew{}, 200, "").status, 200);
--- a/tests/jobs_test.cc
+++ b/tests/jobs_test.cc
@@ -1,5 +1,6 @@
-// Submissions, queries and cancellations: each class by itself, with a state
-// cache, a state watcher and budgets, and the test as the state service.
+// Tests the classes behind submissions, queries and cancellations, each with a
+// state cache, a state watcher and rate budgets. The test takes the place of
+// the state service.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -53,7 +54,8 @@
   return deployment;
 }
 
-// What the classes need, loaded from an empty state service.
+// The environment of the classes, with a state cache loaded from an empty state
+// service.
 class JobsTest : public ::testing::Test {
  protected:
   JobsTest() {
@@ -67,12 +69,12 @@
   void Advance(Duration duration) {
     now_.steady += duration;
     now_.wall += duration;
-    out_.set_now(now_);
+    outbox_.set_now(now_);
   }
 
   // Sorts the effects into answers to clients and calls to the state service.
   void CollectEffects() {
-    for (Effect& effect : out_.TakeEffects()) {
+    for (Effect& effect : outbox_.TakeEffects()) {
       if (auto* reply = std::get_if<Reply>(&effect)) {
         replies_[reply->request] = *reply;
       } else if (auto* call = std::get_if<StateCall>(&effect)) {
@@ -91,11 +93,11 @@
     reply.revision = ++revision_;
     reply.changes = std::move(changes);
     calls_.erase(calls_.begin());
-    out_.Handle(reply);
+    outbox_.Handle(reply);
     CollectEffects();
   }
 
-  // Lets the watcher read the state service once.
+  // Lets the watcher read the state service once and answers with `changes`.
   void Read(int status, std::vector<Change> changes = {}) {
     Advance(Millis(300));
     watcher_.Step();
@@ -113,6 +115,8 @@
     return {keys::Job(spec.id), record, ++revision_};
   }
 
+  // Returns the status of the answer to the request, or kNoAnswer if none has
+  // been sent.
   int StatusOf(RequestId request) {
     CollectEffects();
     auto reply = replies_.find(request);
@@ -133,18 +137,18 @@
   const Deployment deployment_ = TestDeployment();
   const Tuning tuning_;
   Now now_;
-  Outbox out_;
+  Outbox outbox_;
   StateCache state_cache_;
   TokenBucket requests_{100, 100};
   TokenBucket writes_{15, 15};
   StateLimits limits_{deployment_};
   CapacityTable capacity_{kPartitionCount};
-  StateWatcher watcher_{tuning_, out_, state_cache_, requests_};
-  JobQueries queries_{out_, state_cache_, watcher_};
-  JobAdmission admission_{deployment_, tuning_, out_,      state_cache_,
+  StateWatcher watcher_{tuning_, outbox_, state_cache_, requests_};
+  JobQueries queries_{outbox_, state_cache_, watcher_};
+  JobAdmission admission_{deployment_, tuning_, outbox_,   state_cache_,
                           watcher_,    limits_, capacity_, kPartitionCount};
   JobChangeQueue queue_{
-      tuning_, out_,
+      tuning_, outbox_,
       StateAccess{state_cache_, watcher_, requests_, writes_, limits_},
       admission_, queries_};
   uint64_t revision_ = 0;
@@ -154,7 +158,7 @@
 
 // ---- Rejections ----
 
-TEST(WhyImpossible, NamesEachReasonInTheWordsOfTheAnswer) {
+TEST(WhyImpossible, GivesTheReasonAndMessageOfEachRejection) {
   struct Case {
     JobSpec spec;
     RejectionReason reason;
@@ -192,7 +196,7 @@
   }
 }
 
-// An array's tasks can run one after another within the team's limit.
+// The tasks of an array can run one after another within the team's limit.
 TEST(WhyImpossible, AcceptsAnArrayThatExceedsTheTeamsLimitAtOnce) {
   EXPECT_FALSE(WhyImpossible(ArrayJob(kJob, 100, 4), TestDeployment(),
                              OneType(), kValueBytes));
@@ -251,7 +255,7 @@
 
 TEST_F(JobQueriesTest, RefusesAQueryThatWaitsLongerThanItsClient) {
   queries_.Answer(1, kJob, TaskCounts::kInclude);
-  queries_.RunDueWork();  // waits for a read that does not begin
+  queries_.RunDueWork();  // the query waits for a read that does not begin
   queries_.Answer(2, kJob, TaskCounts::kInclude);
   Advance(Millis(1499));
   queries_.RunDueWork();
@@ -273,7 +277,8 @@
 
 class JobAdmissionTest : public JobsTest {
  protected:
-  // `partition` has so many free processors in slots of every size.
+  // Announces that `partition` has `cpus` free processors in slots of every
+  // size.
   void SetFree(uint32_t partition, double cpus) {
     FreeCapacity free;
     free.any.fill(Resources::FromDecimal(cpus));
@@ -349,7 +354,7 @@
   EXPECT_EQ(admission_.CreateRecord(service).home, home);
 }
 
-// ---- The queue of changes ----
+// ---- Queue of changes ----
 
 using JobChangeQueueTest = JobsTest;
 
@@ -420,7 +425,8 @@
   EXPECT_EQ(StatusOf(1), http_status::kCreated);
 }
 
-// The outcome is unknown; the client's next submission finds out.
+// Without an answer the outcome is unknown. The client's next submission of the
+// job finds it out.
 TEST_F(JobChangeQueueTest, RefusesWhenTheStateServiceDoesNotAnswer) {
   queue_.Submit(1, ArrayJob(kJob));
   queue_.RunDueWork();
@@ -442,7 +448,8 @@
 
 TEST_F(JobChangeQueueTest, RefusesWhatWaitsTooLong) {
   writes_.SetRate(0, 0);
-  writes_.Take(now_.steady, 2, -2);  // as far below zero as submissions go
+  // As far below zero as a submission may take the budget.
+  writes_.Take(now_.steady, 2, -2);
   queue_.Submit(1, ArrayJob(kJob));
   Advance(Millis(2499));
   queue_.RunDueWork();
@@ -450,11 +457,11 @@
   Advance(Millis(1));
   queue_.RunDueWork();
   EXPECT_EQ(StatusOf(1), http_status::kServiceUnavailable);
-  EXPECT_EQ(RetryAfterOf(1),
-            Seconds(2));  // one change at half a change a second
+  // One change is waiting, and half a change is stored per second.
+  EXPECT_EQ(RetryAfterOf(1), Seconds(2));
 }
 
-// Starts of tasks would otherwise use up the write budget for good.
+// Otherwise the starts of tasks could use up the write budget for ever.
 TEST_F(JobChangeQueueTest, ASubmissionTakesAWriteInAdvanceAfterAWhile) {
   writes_.SetRate(0, 0);
   queue_.Submit(1, ArrayJob(kJob));
@@ -501,7 +508,7 @@
   TokenBucket cloud_{4, 4};
   Context context_{deployment_,
                    tuning_,
-                   out_,
+                   outbox_,
                    state_cache_,
                    watcher_,
                    requests_,
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -1,6 +1,6 @@
-// The components by which controllers know of each other, each by itself:
-// registration, ownership of partitions, heartbeats, shared rates, misrouted
-// workers.
+// Tests the components by which controllers know of each other, each alone:
+// registration, ownership of partitions, heartbeats between peers, shared rate
+// limits and misrouted workers.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -31,8 +31,8 @@
   return deployment;
 }
 
-// The surroundings of one component. The state cache is filled by hand; what
-// the component does is read from the outbox.
+// The environment of one component. Tests fill the state cache directly and
+// read what the component does from the outbox.
 class MembershipTest : public ::testing::Test {
  protected:
   MembershipTest()
@@ -40,10 +40,10 @@
         requests_(1000, 1000),
         writes_(1000, 1000),
         cloud_(1000, 1000),
-        state_watcher_(tuning_, out_, state_cache_, requests_),
+        state_watcher_(tuning_, outbox_, state_cache_, requests_),
         context_{.deployment = deployment_,
                  .tuning = tuning_,
-                 .out = out_,
+                 .out = outbox_,
                  .state_cache = state_cache_,
                  .state_watcher = state_watcher_,
                  .requests = requests_,
@@ -56,30 +56,31 @@
                      deployment_, deployment_.label, kIncarnation),
                  .state_limits = StateLimits(deployment_)} {
     now_ = {SteadyTime(Seconds(1000)), WallTime(Seconds(5000))};
-    out_.set_now(now_);
+    outbox_.set_now(now_);
   }
 
   void Advance(Duration by) {
     now_.steady += by;
     now_.wall += by;
-    out_.set_now(now_);
+    outbox_.set_now(now_);
   }
 
-  // A read that succeeds at once and finds nothing new. The first two load the
-  // state.
+  // Performs a read that succeeds at once and returns no changes. The first two
+  // such reads load the state.
   void ReadState() {
     Advance(Millis(500));
     state_watcher_.Step();
     std::vector<StateCall> calls = TakeAll<StateCall>();
     ASSERT_EQ(calls.size(), 1u);
-    out_.Handle(StateReply{.call = calls[0].call, .status = 200});
+    outbox_.Handle(StateReply{.call = calls[0].call, .status = 200});
   }
   void LoadState() {
     ReadState();
     ReadState();
   }
 
-  // Stores a record in the state cache; returns its modification revision.
+  // Stores a record in the state cache, or deletes the key if `value` is null,
+  // and returns the revision of the change.
   uint64_t Store(const std::string& key, std::optional<Record> value) {
     state_cache_.Apply(Change{key, std::move(value), ++last_revision_});
     return last_revision_;
@@ -101,11 +102,11 @@
     return Store(keys::Job(id), job);
   }
 
-  // The effects of one kind since the last call; all others are dropped.
+  // Returns the effects of type T since the last call and drops all others.
   template <typename T>
   std::vector<T> TakeAll() {
     std::vector<T> found;
-    for (Effect& effect : out_.TakeEffects()) {
+    for (Effect& effect : outbox_.TakeEffects()) {
       if (auto* wanted = std::get_if<T>(&effect)) {
         found.push_back(std::move(*wanted));
       }
@@ -123,7 +124,7 @@
 
   Deployment deployment_;
   Tuning tuning_;
-  Outbox out_;
+  Outbox outbox_;
   StateCache state_cache_;
   TokenBucket requests_;
   TokenBucket writes_;
@@ -184,7 +185,7 @@
   EXPECT_DOUBLE_EQ(limits_.requests().rate(), 40);
   EXPECT_DOUBLE_EQ(limits_.requests().Available(now), 0.7 * 40);
   EXPECT_DOUBLE_EQ(limits_.writes().Available(now), 0.7 * 0.8 * 15 / 2);
-  // However small the share, one token can be saved up.
+  // However small the share, one token can be accumulated.
   limits_.UpdateShares({RateUsage{55, 14}}, 100, false);
   EXPECT_DOUBLE_EQ(limits_.writes().Available(now), 1);
 }
@@ -222,7 +223,7 @@
   Peers peers_{context_};
 };
 
-TEST_F(PeersTest, IgnoresAHeartbeatThatWasHeldBack) {
+TEST_F(PeersTest, IgnoresADelayedHeartbeat) {
   PeerHeartbeat heartbeat = HeartbeatFrom("node-1");
   heartbeat.cancelled = {"job-1"};
   Advance(Millis(2501));
@@ -259,7 +260,7 @@
   EXPECT_TRUE(peers_.HeartbeatDue(0));
 }
 
-TEST_F(PeersTest, TellsItsStatus) {
+TEST_F(PeersTest, HeartbeatCarriesTheLocalStatus) {
   ASSERT_TRUE(Send());
   Advance(Seconds(3));
   FreeCapacity free;
@@ -275,7 +276,7 @@
   EXPECT_EQ(heartbeat->sent, now_.wall);
   EXPECT_EQ(heartbeat->sender_time, now_.steady);
   EXPECT_EQ(heartbeat->uptime, Seconds(3));
-  EXPECT_EQ(heartbeat->state_age, Seconds(3600));  // it was never read
+  EXPECT_EQ(heartbeat->state_age, Seconds(3600));  // the state was never read
   EXPECT_DOUBLE_EQ(heartbeat->requests, 7);
   EXPECT_DOUBLE_EQ(heartbeat->writes, 2);
   EXPECT_EQ(heartbeat->misrouted_workers, status.misrouted_workers);
@@ -286,7 +287,7 @@
   EXPECT_EQ(context_.capacity_table.Tasks(1, spec, now_.steady), 4);
 }
 
-TEST_F(PeersTest, EchoesLivePeersWithWhatTheOneBehindDoesNotKnow) {
+TEST_F(PeersTest, EchoesLivePeersAndSendsCancellationsThatOneOfThemLacks) {
   uint64_t before = StoreCancelledJob("job-1");
   StoreCancelledJob("job-2");
   PeerHeartbeat ahead = HeartbeatFrom("node-1");
@@ -311,8 +312,8 @@
   EXPECT_TRUE(sent->echoes.empty());
 }
 
-// An echo without all cancellations would let the peer go on with tasks of
-// cancelled jobs.
+// If the peer got an echo without all cancellations, it would go on running
+// tasks of cancelled jobs.
 TEST_F(PeersTest, DoesNotEchoAPeerThatIsTooFarBehind) {
   for (int i = 0; i < 501; ++i) StoreCancelledJob("job-" + std::to_string(i));
   PeerHeartbeat behind = HeartbeatFrom("node-1");
@@ -332,18 +333,18 @@
   LoadState();
   EXPECT_TRUE(peers_.Healthy());
   Advance(Millis(1200));
-  EXPECT_FALSE(peers_.Healthy());  // and hears nobody
+  EXPECT_FALSE(peers_.Healthy());  // and no peer is heard
   PeerHeartbeat heartbeat = HeartbeatFrom("node-1");
   heartbeat.state_age = Millis(1200);
   peers_.OnHeartbeat(heartbeat);
-  EXPECT_TRUE(peers_.Healthy());  // nobody can
+  EXPECT_TRUE(peers_.Healthy());  // no controller can read
   heartbeat = HeartbeatFrom("node-2");
   heartbeat.state_age = Millis(1199);
   peers_.OnHeartbeat(heartbeat);
   EXPECT_FALSE(peers_.Healthy());
 }
 
-TEST_F(PeersTest, KnowsTheUsageOfPeersHeardLately) {
+TEST_F(PeersTest, KnowsTheUsageOfLivePeersOnly) {
   PeerHeartbeat heartbeat = HeartbeatFrom("node-1");
   heartbeat.requests = 3;
   heartbeat.writes = 2;
@@ -365,7 +366,8 @@
   peers_.OnHeartbeat(heartbeat);
   EXPECT_EQ(peers_.FindMisroutedWorkers(0), std::nullopt);
   EXPECT_EQ(peers_.FindMisroutedWorkers(1), "node-2");
-  EXPECT_EQ(peers_.FindMisroutedWorkers(2), std::nullopt);  // not told of
+  // The heartbeat does not report this partition.
+  EXPECT_EQ(peers_.FindMisroutedWorkers(2), std::nullopt);
   heartbeat.label = "node-1";
   peers_.OnHeartbeat(heartbeat);
   EXPECT_EQ(peers_.FindMisroutedWorkers(1), "node-1");
@@ -381,7 +383,8 @@
  protected:
   struct Answer {
     int status = 0;
-    std::optional<std::string> owner;  // of a redirect
+    // Set only in a redirect; empty if the redirect names no owner.
+    std::optional<std::string> owner;
   };
 
   Answer HeartbeatOf(const std::string& machine, uint32_t partition,
@@ -404,7 +407,7 @@
   MisroutedWorkers misrouted_{context_, ownership_, peers_};
 };
 
-TEST_F(MisroutedWorkersTest, SendsAWorkerToTheOwnerIfOneIsKnown) {
+TEST_F(MisroutedWorkersTest, RedirectsAWorkerToTheOwnerIfOneIsKnown) {
   LoadState();
   EXPECT_EQ(HeartbeatOf("m-1", 1).status, 503);
   StoreNode("node-1", "b");
@@ -412,19 +415,19 @@
   Answer answer = HeartbeatOf("m-1", 1);
   EXPECT_EQ(answer.status, 421);
   EXPECT_EQ(answer.owner, "node-1");
-  // What was read too long ago may be wrong by now.
+  // State that was read too long ago may be wrong by now.
   Advance(Seconds(2));
   EXPECT_EQ(HeartbeatOf("m-1", 1).status, 503);
 }
 
-TEST_F(MisroutedWorkersTest, SendsManyThatHaveLostTheOwnerAnywhere) {
+TEST_F(MisroutedWorkersTest, RedirectNamesNoOwnerIfManyWorkersHaveLostIt) {
   LoadState();
   StoreNode("node-1", "b");
   uint64_t fencing_token = StoreOwner(1, "node-1", "b");
   EXPECT_EQ(HeartbeatOf("m-1", 1, fencing_token).owner, "node-1");
   EXPECT_EQ(HeartbeatOf("m-2", 1, fencing_token).owner, "node-1");
   EXPECT_EQ(HeartbeatOf("m-3", 1, fencing_token).owner, "");
-  // One that has never been with the owner may still reach it.
+  // A worker that was never served by this owner may still reach it.
   EXPECT_EQ(HeartbeatOf("m-4", 1, fencing_token - 1).owner, "node-1");
 }
 
@@ -455,12 +458,12 @@
   SteadyTime last_heard = now_.steady;
   Advance(Millis(3500));
   misrouted_.HandOverIfUnreachable(0, last_heard);
-  EXPECT_TRUE(TakeAll<StateCall>().empty());  // nobody hears its workers
+  EXPECT_TRUE(TakeAll<StateCall>().empty());  // no peer hears its workers
   PeerHeartbeat heartbeat = HeartbeatFrom("node-1");
   heartbeat.misrouted_workers = {1, 0, 0};
   peers_.OnHeartbeat(heartbeat);
   misrouted_.HandOverIfUnreachable(0, last_heard + Millis(1));
-  EXPECT_TRUE(TakeAll<StateCall>().empty());  // heard lately
+  EXPECT_TRUE(TakeAll<StateCall>().empty());  // heard too recently
   misrouted_.HandOverIfUnreachable(0, last_heard);
   std::vector<StateCall> calls = TakeAll<StateCall>();
   ASSERT_EQ(calls.size(), 1u);
@@ -477,7 +480,8 @@
 
 class NodeRegistrationTest : public MembershipTest {
  protected:
-  // The only call to the state service since the last check.
+  // Returns the call to the state service since the last check if there is
+  // exactly one, else null.
   std::optional<StateCall> TakeCall() {
     std::vector<StateCall> calls = TakeAll<StateCall>();
     if (calls.size() != 1) return {};
@@ -488,7 +492,8 @@
     std::optional<StateCall> call = TakeCall();
     ASSERT_TRUE(call);
     ASSERT_TRUE(std::holds_alternative<Grant>(call->request));
-    out_.Handle(StateReply{.call = call->call, .status = 200, .lease = lease});
+    outbox_.Handle(
+        StateReply{.call = call->call, .status = 200, .lease = lease});
   }
 
   NodeRegistration registration_{context_};
@@ -506,7 +511,7 @@
   EXPECT_EQ(std::get<Renew>(call->request).lease, 9u);
   EXPECT_EQ(call->timeout, tuning_.node_lease / 4);
   registration_.KeepLease();
-  EXPECT_FALSE(TakeCall());  // one is under way
+  EXPECT_FALSE(TakeCall());  // a renewal is under way
 }
 
 TEST_F(NodeRegistrationTest, RetriesAFailedRenewalAndReplacesALostLease) {
@@ -515,13 +520,13 @@
   registration_.KeepLease();
   std::optional<StateCall> call = TakeCall();
   ASSERT_TRUE(call);
-  out_.Handle(StateReply{.call = call->call, .status = 0});
+  outbox_.Handle(StateReply{.call = call->call, .status = 0});
   Advance(Millis(150));
   registration_.KeepLease();
   call = TakeCall();
   ASSERT_TRUE(call);
   ASSERT_TRUE(std::holds_alternative<Renew>(call->request));
-  out_.Handle(StateReply{.call = call->call, .status = 404});
+  outbox_.Handle(StateReply{.call = call->call, .status = 404});
   Advance(Millis(150));
   registration_.KeepLease();
   call = TakeCall();
@@ -529,7 +534,8 @@
   EXPECT_TRUE(std::holds_alternative<Grant>(call->request));
 }
 
-// Without the lease the partitions would go to others.
+// Without the lease, other controllers would take over this controller's
+// partitions.
 TEST_F(NodeRegistrationTest, KeepsTheLeaseWhenTheBudgetIsUsedUp) {
   requests_.TakeOnCredit(now_.steady, 5000);
   registration_.KeepLease();
@@ -565,8 +571,9 @@
 
 class OwnershipTest : public MembershipTest {
  protected:
-  // The change of owner that the step sends, of the partition it is for.
-  std::optional<Transaction> StepAndTakeChangeOf(uint32_t partition) {
+  // Runs the component once. Returns the change of the owner of `partition`
+  // that it sends, or null if it sends none.
+  std::optional<Transaction> RunAndTakeOwnerChange(uint32_t partition) {
     ownership_.Step();
     for (StateCall& call : TakeAll<StateCall>()) {
       auto* txn = std::get_if<Transaction>(&call.request);
@@ -590,37 +597,38 @@
   StoreNode("node-2", "c");
   StoreOwner(1, "node-1", "b");
   uint64_t dead = StoreOwner(0, "node-1", "earlier");
-  std::optional<Transaction> change = StepAndTakeChangeOf(0);
+  std::optional<Transaction> change = RunAndTakeOwnerChange(0);
   ASSERT_TRUE(change);
   ASSERT_EQ(change->conditions.size(), 2u);
   EXPECT_EQ(change->conditions[0].mod_revision, dead);
   EXPECT_EQ(change->conditions[1].key, keys::Node("node-1", "earlier"));
   EXPECT_EQ(change->conditions[1].mod_revision, 0u);
-  // Partition 2 is node-2's to take first, within a second and a half.
+  // node-2 is the preferred owner of partition 2, which never had an owner.
+  // Other controllers leave it to node-2 for 1.5 s.
   Advance(Millis(1499));
-  EXPECT_FALSE(StepAndTakeChangeOf(2));
+  EXPECT_FALSE(RunAndTakeOwnerChange(2));
   Advance(Millis(1));
-  EXPECT_TRUE(StepAndTakeChangeOf(2));
+  EXPECT_TRUE(RunAndTakeOwnerChange(2));
 }
 
 TEST_F(OwnershipTest, WaitsForAReadBeforeItAsksAgain) {
   LoadState();
   StoreNode("node-0", kIncarnation);
-  ASSERT_TRUE(StepAndTakeChangeOf(0));
-  EXPECT_FALSE(StepAndTakeChangeOf(0));
-  out_.Handle(StateReply{.call = last_change_, .status = 0});
-  EXPECT_FALSE(StepAndTakeChangeOf(0));
+  ASSERT_TRUE(RunAndTakeOwnerChange(0));
+  EXPECT_FALSE(RunAndTakeOwnerChange(0));
+  outbox_.Handle(StateReply{.call = last_change_, .status = 0});
+  EXPECT_FALSE(RunAndTakeOwnerChange(0));
   ReadState();
-  EXPECT_TRUE(StepAndTakeChangeOf(0));
+  EXPECT_TRUE(RunAndTakeOwnerChange(0));
 }
 
 TEST_F(OwnershipTest, TakesNothingOverBeforeItIsRegistered) {
   LoadState();
-  EXPECT_FALSE(StepAndTakeChangeOf(0));
+  EXPECT_FALSE(RunAndTakeOwnerChange(0));
   Advance(Millis(1600));  // longer than any delay, and the state still fresh
-  EXPECT_FALSE(StepAndTakeChangeOf(0));
+  EXPECT_FALSE(RunAndTakeOwnerChange(0));
   StoreNode("node-0", kIncarnation);
-  EXPECT_TRUE(StepAndTakeChangeOf(0));
+  EXPECT_TRUE(RunAndTakeOwnerChange(0));
 }
 
 TEST_F(OwnershipTest, HandsBackToAControllerThatHasBeenUpForAWhile) {
@@ -631,9 +639,9 @@
   EXPECT_EQ(ownership_.FencingTokenOf(1), fencing_token);
   EXPECT_EQ(ownership_.OwnerOf(1), "node-0");
   tuning_.handover_after = Seconds(1);
-  EXPECT_FALSE(StepAndTakeChangeOf(1));
+  EXPECT_FALSE(RunAndTakeOwnerChange(1));
   Advance(Seconds(1));
-  std::optional<Transaction> change = StepAndTakeChangeOf(1);
+  std::optional<Transaction> change = RunAndTakeOwnerChange(1);
   ASSERT_TRUE(change);
   const auto& record = std::get<PartitionRecord>(*change->writes[0].value);
   EXPECT_EQ(record.label, "node-1");
@@ -646,12 +654,12 @@
   StoreNode("node-0", kIncarnation);
   StoreNode("node-1", "b");
   Store(keys::Partition(1), PartitionRecord{"node-0", kIncarnation, "node-1"});
-  EXPECT_FALSE(StepAndTakeChangeOf(1));
+  EXPECT_FALSE(RunAndTakeOwnerChange(1));
   Advance(Millis(59499));
   ReadState();
-  EXPECT_FALSE(StepAndTakeChangeOf(1));
+  EXPECT_FALSE(RunAndTakeOwnerChange(1));
   Advance(Millis(1));
-  EXPECT_TRUE(StepAndTakeChangeOf(1));
+  EXPECT_TRUE(RunAndTakeOwnerChange(1));
 }
 
 TEST_F(OwnershipTest, DoesNotHandOverWhatItDoesNotOwnOrToNobody) {
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -1,4 +1,4 @@
-// The bounds of writes to the state service after refusals and successes.
+// Tests the limits on writes to the state service after refusals and successes.
 #include "core/state/state_limits.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace pitchfall {
 namespace {
 
-// Limits of the service as a deployment announces them.
+// Returns the limits for a state service with these announced limits.
 StateLimits LimitsOf(double value_kb, uint32_t operations) {
   Deployment deployment;
   deployment.state.value_kb = value_kb;
@@ -30,7 +30,7 @@
   EXPECT_FALSE(limits.Reduced());
 }
 
-TEST(StateLimits, TheSmallerOfPresentAndAnnouncedOnesHolds) {
+TEST(StateLimits, AreTheSmallerOfPresentAndAnnouncedOnes) {
   Deployment deployment;
   deployment.state.value_kb = 64;
   deployment.state.txn_ops = 16;
@@ -53,7 +53,7 @@
   EXPECT_EQ(limits.Operations(), 4u);
 }
 
-TEST(StateLimits, ReturnStepByStepAsWritesPass) {
+TEST(StateLimits, AreRestoredInStepsAsWritesSucceed) {
   StateLimits limits = LimitsOf(8, 64);
   limits.OnRefused();
   limits.OnRefused();
@@ -65,7 +65,7 @@
   EXPECT_FALSE(limits.Reduced());
 }
 
-TEST(StateLimits, RefusalStartsTheCountOfPassingWritesAnew) {
+TEST(StateLimits, RefusalResetsTheCountOfSuccessfulWrites) {
   StateLimits limits = LimitsOf(8, 64);
   limits.OnRefused();
   Accept(limits, 199);
--- a/tests/state_watcher_test.cc
+++ b/tests/state_watcher_test.cc
@@ -1,4 +1,4 @@
-// The state watcher alone, with each reply given by the test.
+// Tests the state watcher alone. The test answers each of its reads.
 #include "core/state/state_watcher.h"
 
 #include <gtest/gtest.h>
@@ -16,6 +16,7 @@
 namespace pitchfall {
 namespace {
 
+// A state watcher with a clock that only the test advances.
 class StateWatcherTest : public ::testing::Test {
  protected:
   StateWatcherTest() { AdvanceTime(Millis(1000000)); }
@@ -25,8 +26,8 @@
     outbox_.set_now(now_);
   }
 
-  // The read that a step starts now, if it starts one.
-  std::optional<StateCall> Step() {
+  // Runs the watcher once and returns the read that it starts, if any.
+  std::optional<StateCall> RunAndTakeRead() {
     watcher_.Step();
     for (const Effect& effect : outbox_.TakeEffects()) {
       if (const auto* call = std::get_if<StateCall>(&effect)) return *call;
@@ -34,12 +35,12 @@
     return std::nullopt;
   }
 
-  // The next read, however long the watcher waits for it.
+  // Lets time pass until the watcher starts its next read, and returns it.
   StateCall NextRead() {
-    std::optional<StateCall> call = Step();
+    std::optional<StateCall> call = RunAndTakeRead();
     while (!call) {
       AdvanceTime(Millis(10));
-      call = Step();
+      call = RunAndTakeRead();
     }
     return *call;
   }
@@ -52,7 +53,7 @@
     outbox_.Handle(reply);
   }
 
-  // Answers the list and the watch read after it.
+  // Answers the list and the first watch read after it.
   void Load() {
     Answer(NextRead(), 200, 100);
     Answer(NextRead(), 200, 100);
@@ -66,7 +67,7 @@
   StateWatcher watcher_{tuning_, outbox_, cache_, requests_};
 };
 
-TEST_F(StateWatcherTest, IsCurrentOnlyAfterTheWatchReadBehindTheList) {
+TEST_F(StateWatcherTest, IsCurrentOnlyAfterTheWatchReadThatFollowsTheList) {
   StateCall list = NextRead();
   EXPECT_TRUE(std::holds_alternative<ListRead>(list.request));
   Answer(list, 200, 100);
@@ -118,14 +119,14 @@
   Load();
   Answer(NextRead(), 200, 101);
   AdvanceTime(Millis(199));
-  EXPECT_FALSE(Step());
+  EXPECT_FALSE(RunAndTakeRead());
   watcher_.RequestRead();
-  std::optional<StateCall> requested = Step();
+  std::optional<StateCall> requested = RunAndTakeRead();
   ASSERT_TRUE(requested);
-  EXPECT_FALSE(Step());  // one at a time
+  EXPECT_FALSE(RunAndTakeRead());  // only one read at a time
   Answer(*requested, 200, 102);
   AdvanceTime(Millis(200));
-  EXPECT_TRUE(Step());
+  EXPECT_TRUE(RunAndTakeRead());
 }
 
 }  // namespace
