--- a/tests/answer_bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -1,6 +1,6 @@
-// How long an owner may answer its workers without the state service, and what
-// other controllers' words are worth for it. docs/proofs.md has the
-// inequality.
+// How long an owner may answer its workers without the state service, and how
+// far the heartbeats of other controllers extend that time. docs/proofs.md has
+// the inequality. Also write fences, direct stops and starts.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,6 +16,8 @@
 
 constexpr uint64_t kFencingToken = 50;
 
+// Three controllers. The lease and the time in which cancelled tasks must have
+// stopped leave 17.9735 s for answers without a read of the state.
 Deployment HuntSized() {
   Deployment d;
   d.label = "node-0";
@@ -26,7 +28,8 @@
   return d;
 }
 
-// An owner by itself: its reads and its workers are played by hand.
+// The owner of partition 0 in a deployment of three controllers. Tests make the
+// replies of the state service and the heartbeats of workers and peers.
 class AnswerBound : public ::testing::Test {
  protected:
   AnswerBound()
@@ -50,8 +53,8 @@
                  StateLimits(deployment_)} {
     tuning_.heartbeat_hold = Duration(0);
     SetNow(Seconds(1000));
-    Read();  // the list
-    Read();  // what came since: everything is known as of here
+    Read();  // the list of all keys
+    Read();  // the changes since; the state is now known as of this read
     current_as_of_ = now_.steady;
     partition_ = std::make_unique<Partition>(context_, 0, kFencingToken);
   }
@@ -62,7 +65,8 @@
   }
   void Advance(Duration by) { SetNow(now_.steady.time_since_epoch() + by); }
 
-  // One read of the state watcher's that succeeds at once.
+  // Lets the state watcher make one read 500 ms from now, which succeeds at
+  // once.
   void Read() {
     Advance(Millis(500));
     state_watcher_.Step();
@@ -77,6 +81,8 @@
     }
   }
 
+  // A heartbeat of the machine m-1, whose worker has seen this owner's fencing
+  // token.
   WorkerHeartbeat HeartbeatOf(uint64_t seq,
                               std::vector<ReportedTask> tasks = {}) {
     WorkerHeartbeat heartbeat;
@@ -91,8 +97,9 @@
     return heartbeat;
   }
 
-  // The status of the answer to a heartbeat that comes now; its effects are
-  // kept.
+  // Delivers a heartbeat of m-1 now and returns the status of its answer, or 0
+  // if there is none yet. Keeps the effects in `effects_`, and the label in
+  // `redirect_` if the worker is redirected.
   int StatusOfHeartbeat(uint64_t seq, std::vector<ReportedTask> tasks = {}) {
     partition_->OnWorkerHeartbeat(seq, HeartbeatOf(seq, std::move(tasks)));
     partition_->Step();
@@ -109,6 +116,8 @@
     return 0;
   }
 
+  // A heartbeat of the peer `label` that echoes this process's `sender_time`.
+  // The peer's process has been up since long before the last read.
   PeerHeartbeat PeerEcho(const std::string& label, SteadyTime sender_time) {
     PeerHeartbeat heartbeat;
     heartbeat.label = label;
@@ -129,14 +138,16 @@
   Context context_;
   std::unique_ptr<Partition> partition_;
   Now now_{};
+  // When the last read began.
   SteadyTime current_as_of_{};
   std::vector<Effect> effects_;
   std::string redirect_;
 };
 
-// cancel 46.5 - lease 26.5 with 0.1% for drift (26.5265) - 2 = 17.9735 s after
-// the last read began. A second more, and a cancellation confirmed right after
-// that read would not be carried out in time on a worker whose clock is slow.
+// The owner may answer until 17.9735 s after the last read began: cancel 46.5 s
+// - lease 26.5 s with 0.1% for drift (26.5265 s) - margin 2 s. With a later
+// answer, a task whose cancellation was confirmed right after that read might
+// not stop in time on a worker whose clock is slow.
 TEST_F(AnswerBound, EndsWhereACancellationCouldComeTooLate) {
   Advance(Millis(17973));
   EXPECT_EQ(StatusOfHeartbeat(1), 200);
@@ -153,7 +164,7 @@
   SteadyTime late = now_.steady;
   context_.cancellation_watermark.OnPeerHeartbeat(PeerEcho("node-1", late),
                                                   now_.steady, current_as_of_);
-  // One of them says nothing: nothing is gained.
+  // One peer is silent, so the time of the last read still counts.
   EXPECT_EQ(context_.cancellation_watermark.CancellationsKnownUntil(
                 current_as_of_, now_.steady),
             current_as_of_);
@@ -173,7 +184,8 @@
   Advance(Seconds(10));
   for (const char* label : {"node-1", "node-2"}) {
     PeerHeartbeat heartbeat = PeerEcho(label, now_.steady);
-    // By its own clock, which may be fast, not before the read for sure.
+    // The peer's clock may be fast: it is not certain that the incarnation
+    // began before the read.
     heartbeat.uptime = Millis(10005);
     context_.cancellation_watermark.OnPeerHeartbeat(heartbeat, now_.steady,
                                                     current_as_of_);
@@ -213,7 +225,8 @@
             current_as_of_);
 }
 
-// A message that the network held back takes nothing away.
+// A heartbeat with an older echo that was delayed in the network does not move
+// the watermark back.
 TEST_F(AnswerBound, OldEchoesAreNoNews) {
   Advance(Seconds(10));
   SteadyTime then = now_.steady;
@@ -235,8 +248,9 @@
   EXPECT_EQ(alone.CancellationsKnownUntil(current_as_of_, later), later);
 }
 
-// Another controller that owns the partition says so: whatever the clock says,
-// nothing is answered any more, and workers are sent there.
+// Once another controller claims the partition with a higher fencing token, the
+// owner answers no worker, however recent its last read is, and redirects
+// workers to that controller.
 TEST_F(AnswerBound, EndsWhenALaterOwnerIsHeard) {
   partition_->OnPeerClaim("node-2", kFencingToken - 1);  // an earlier one
   EXPECT_EQ(StatusOfHeartbeat(1), 200);
@@ -247,9 +261,9 @@
 
 // ---- Writes without an answer ----
 
-// A write that got no answer may be carried out any time later. Before anything
-// else is written the write fence changes, on which it depended, and what is
-// written after depends on the new one.
+// A write that got no answer may be carried out at any later time. It has the
+// write fence as a condition, so the fence is advanced before anything else is
+// written, and later writes have the new revision of the fence as a condition.
 TEST_F(AnswerBound, AfterAWriteWithoutAnAnswerTheFenceIsRaisedFirst) {
   auto write = [this]() -> std::optional<StateCall> {
     for (int step = 0; step < 100; ++step) {
@@ -287,10 +301,10 @@
     }
     return std::nullopt;
   };
-  std::optional<StateCall> lost = write();  // the period's report
+  std::optional<StateCall> lost = write();  // the periodic load record
   ASSERT_TRUE(lost);
   EXPECT_EQ(fence_in(*lost), 0u);
-  // As every write of an owner it depends on the ownership too.
+  // Like every write of an owner it also has the ownership as a condition.
   const auto& conditions = std::get<Transaction>(lost->request).conditions;
   EXPECT_TRUE(std::any_of(conditions.begin(), conditions.end(),
                           [](const Condition& condition) {
@@ -303,7 +317,7 @@
   const auto& raised = std::get<Transaction>(fence->request);
   ASSERT_EQ(raised.writes.size(), 1u);
   EXPECT_EQ(raised.writes[0].key, keys::WriteFence(0, kFencingToken));
-  // Its own answer is lost too: again.
+  // The answer to the advance is lost too, so it is repeated.
   answer(*fence, 0, 0);
   fence = write();
   ASSERT_TRUE(fence);
@@ -315,8 +329,9 @@
   EXPECT_EQ(fence_in(*next), 150u);
 }
 
-// ---- Stops sent directly, and starts ----
+// ---- Direct stops, and starts ----
 
+// The state has the job run-1, whose only task is assigned to the machine m-1.
 class DirectStops : public AnswerBound {
  protected:
   DirectStops() {
@@ -336,6 +351,7 @@
         {keys::Segment(0, 0), SegmentRecord{{{"run-1", 0, chunk}}}, 202});
   }
 
+  // The calls among the last effects that carry commands to a worker.
   std::vector<WorkerCall> StopCalls() {
     std::vector<WorkerCall> calls;
     for (const Effect& effect : effects_) {
@@ -348,6 +364,7 @@
     }
     return calls;
   }
+  // The number of start commands in the last effects' replies to heartbeats.
   size_t StartsSent() const {
     size_t count = 0;
     for (const Effect& effect : effects_) {
@@ -361,6 +378,7 @@
     }
     return count;
   }
+  // Lets the partition run after `by`, and returns the calls that stop tasks.
   std::vector<WorkerCall> StepLater(Duration by) {
     Advance(by);
     partition_->Step();
@@ -369,8 +387,8 @@
   }
 };
 
-// The start travels in the answer to a heartbeat; before another heartbeat
-// shows it the job is called off.
+// A start is sent in the answer to a heartbeat, and the job is cancelled before
+// the next heartbeat shows the task.
 TEST_F(DirectStops, ReachAStartThatNoHeartbeatShowsYet) {
   BoundAttempt own;
   own.job = state_cache_.FindJob("run-1");
@@ -381,27 +399,27 @@
   CommandPolicy policy;
   policy.job_active = [](const BoundAttempt&) { return false; };
   ASSERT_EQ(BuildDirectStops(machine, policy).size(), 1u);
-  EXPECT_TRUE(BuildDirectStops(machine, policy).empty());  // once
-  // One that has not been sent needs no stop.
+  EXPECT_TRUE(BuildDirectStops(machine, policy).empty());  // sent only once
+  // A start that has not been sent needs no stop.
   machine.bound.begin()->second.start_sent.reset();
   machine.bound.begin()->second.stop_sent = false;
   EXPECT_TRUE(BuildDirectStops(machine, policy).empty());
 }
 
-// What was assigned is started only while the state is known to be as of the
-// last two seconds.
+// Assigned tasks are started only while the last read of the state is less than
+// two seconds old.
 TEST_F(DirectStops, NothingStartsOnOldKnowledge) {
-  writes_.Drain(now_.steady);  // nothing is stored meanwhile
+  writes_.Drain(now_.steady);  // no write can be sent meanwhile
   StatusOfHeartbeat(1);        // the first after a silence may be an old copy
   Advance(Millis(2000));
   ASSERT_EQ(StatusOfHeartbeat(2), 200);
   EXPECT_EQ(StartsSent(), 0u);
 }
 
-// A machine that is heard again after a silence takes nothing at first, and
-// what is bound to it and was not started yet is taken back. While that is
-// being stored the next heartbeat comes: the task must not start here now,
-// since it may start elsewhere as soon as the write is through.
+// A machine that reports again after a silence takes no task at first, and
+// tasks that are bound to it but not started are unbound. If its next heartbeat
+// comes while that is being stored, the task must not start on it, because it
+// may start on another machine as soon as the write is stored.
 TEST_F(DirectStops, NothingStartsWhoseEndIsBeingStored) {
   auto storing = [this]() -> const StateCall* {
     for (const Effect& effect : effects_) {
@@ -418,7 +436,8 @@
   Advance(Millis(600));
   ASSERT_EQ(StatusOfHeartbeat(2), 200);
   EXPECT_EQ(StartsSent(), 0u);
-  // Refused: it is bound as before, and starts with the next heartbeat.
+  // The write is refused: the task is bound as before, and starts with the next
+  // heartbeat.
   StateReply refused;
   refused.call = id;
   refused.status = 503;
@@ -430,25 +449,25 @@
   EXPECT_EQ(StartsSent(), 1u);
 }
 
-// To a machine that reports to nobody a stop that failed is sent again until
-// one is carried out.
+// A direct stop that failed is sent again until the worker confirms one,
+// because the machine may send no heartbeat that a stop could answer.
 TEST_F(DirectStops, AreRepeatedUntilOneIsCarriedOut) {
   ReportedTask running{"run-1", 0, 1, TaskState::kRunning, ExitCause::kNone};
   StatusOfHeartbeat(1, {running});
   Advance(Millis(600));
   ASSERT_EQ(StatusOfHeartbeat(2, {running}), 200);
   EXPECT_TRUE(StopCalls().empty());
-  // Another controller tells that it has stored the cancellation.
+  // Another controller has reported that it stored the cancellation.
   context_.cancelled_by_peers.insert("run-1");
   std::vector<WorkerCall> first = StepLater(Millis(50));
   ASSERT_EQ(first.size(), 1u);
-  EXPECT_TRUE(StepLater(Millis(50)).empty());  // under way
+  EXPECT_TRUE(StepLater(Millis(50)).empty());  // call in progress
   for (int status : {0, 409, 503}) {
     WorkerReply failed;
     failed.call = first[0].call;
     failed.status = status;
     out_.Handle(failed);
-    EXPECT_TRUE(StepLater(Millis(50)).empty());  // not at once
+    EXPECT_TRUE(StepLater(Millis(50)).empty());  // not retried at once
     first = StepLater(Millis(1000));
     ASSERT_EQ(first.size(), 1u) << status;
   }
@@ -459,7 +478,7 @@
   EXPECT_TRUE(StepLater(Millis(2000)).empty());
 }
 
-// ---- What is told ----
+// ---- The list of cancellations in heartbeats to peers ----
 
 TEST(CancelledSince, IsWholeOrNothing) {
   StateCache state_cache;
@@ -480,7 +499,8 @@
   EXPECT_EQ(state_cache.CancelledSince(3, 10), (Ids{"run-3"}));
   EXPECT_EQ(state_cache.CancelledSince(5, 10), Ids{});
   EXPECT_EQ(state_cache.CancelledSince(0, 1), std::nullopt);
-  // Of very many the oldest are left out, which has to show.
+  // Only the newest cancellations are kept. A list that would lack older ones
+  // must not be returned as if it were complete.
   for (uint64_t n = 10; n < 3010; ++n) {
     apply("run-9" + std::to_string(n), n, JobState::kCancelled);
   }
--- a/tests/compound_failures_test.cc
+++ b/tests/compound_failures_test.cc
@@ -1,7 +1,7 @@
-// Failures that overlap, each schedule bringing one combination about over the
-// real core in the simulated deployment, watched by the plain model. Those of
-// messages that are lost, late or doubled are here; docs/testing.md has
-// the table of all combinations.
+// Failures that overlap, most of them with messages that are lost, late or
+// duplicated. Each test schedules one combination over the real core in the
+// simulated deployment, whose reference model checks the rules. docs/testing.md
+// has the table of all combinations.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -40,8 +40,8 @@
   }
 }
 
-// Copies of heartbeats from before the change reach all controllers as the new
-// owner begins, and once more when it has acted.
+// Copies of heartbeats from before the change of owner reach all controllers
+// when the new owner begins, or 1.5 or 8 s later, when it has acted.
 TEST(CompoundFailure, OldHeartbeatsReachEveryControllerAsANewLeaderBegins) {
   for (double delay_s : {0.0, 1.5, 8.0}) {
     Play([](SimulationConfig& config) { config.jobs_within = Seconds(90); },
@@ -83,7 +83,8 @@
       });
 }
 
-// No controller may answer anything older than what any of them has said.
+// No controller may give an answer older than one that any controller has given
+// before.
 TEST(CompoundFailure, UsersAskAllControllersRightAfterEachAnswer) {
   for (bool slow : {false, true}) {
     Play(
@@ -140,8 +141,8 @@
       });
 }
 
-// The owner's work is handed over (its workers cannot reach it) or taken over
-// (it ends), and jobs are called off all through these seconds.
+// Jobs are cancelled every 0.4 s while the owner's partition is handed over
+// (its workers cannot reach it) or taken over (its process ends).
 TEST(CompoundFailure, CancellationsWhilePartitionsChangeHands) {
   for (bool handed_over : {false, true}) {
     Play([](SimulationConfig& config) { config.jobs = 40; },
@@ -166,8 +167,8 @@
   }
 }
 
-// Whoever lost the answer has to find out; the others read what was written
-// and go on from there.
+// The controller that lost the answer has to find out whether its transaction
+// was carried out, while the others read what was written and act on it.
 TEST(CompoundFailure, TransactionsAreCarriedOutAndOnlyTheirAnswersAreLost) {
   Play(
       [](SimulationConfig& config) {
@@ -188,8 +189,8 @@
       });
 }
 
-// Stops of the former owner arrive after the new owner has shown its fencing
-// token and started other tasks there.
+// Stop commands of the former owner arrive at a machine after the new owner has
+// shown its fencing token and started other tasks there.
 TEST(CompoundFailure, CommandsOfADeposedLeaderArriveAfterTheNewLeaders) {
   Play([](SimulationConfig& config) { config.jobs = 40; },
        [](ClusterSimulation& simulation) {
@@ -198,8 +199,8 @@
          for (int i = 0; i < 3; ++i) {
            simulation.At(25 + 12 * i,
                          [&simulation] { simulation.CancelNow(4, 0); });
-           // Deposed but alive: it keeps its workers until they see the fencing
-           // token.
+           // The leader is deposed but alive. It keeps its workers until they
+           // see the new owner's fencing token.
            simulation.At(25.3 + 12 * i, [&simulation] {
              simulation.CutNode(simulation.OwnerOf(0),
                                 {.state = true, .peers = true}, 7);
--- a/tests/operations_test.cc
+++ b/tests/operations_test.cc
@@ -1,6 +1,7 @@
-// Faults that no list names, as the operators met them: storms of questions,
-// controllers that stand still, machines that come late or never, guests, and
-// jobs that fail wherever they run. In the project's own simulation.
+// Operational conditions beyond the lists of failures: bursts of job queries,
+// paused controllers, owners that their workers cannot reach, scarce writes,
+// large jobs, teams without a guarantee, and jobs that fail on every machine.
+// They run in the simulated deployment.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,12 +12,13 @@
 namespace pitchfall::sim {
 namespace {
 
-// With exact quota shares 601 to 713 were counted.
+// The most writes of quota shares in a run. Without steps, when quota shares
+// follow their use exactly, there are 601 to 713.
 constexpr int kMaxTeamPuts = 200;
 
-// Twenty times the questions, fifty a second about jobs that nobody submitted,
-// a controller back in the middle of it: nearly all are answered, and nothing
-// else waits for them.
+// For a minute users query their jobs twenty times as often and ask fifty times
+// a second about jobs that nobody submitted, and a controller restarts
+// meanwhile. Nearly all queries are answered, and they delay nothing else.
 TEST(Operations, AStormOfQuestionsCrowdsNothingOut) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     SimulationConfig config = CalmConfig(seed);
@@ -28,15 +30,17 @@
     ExpectRulesKept(simulation);
     EXPECT_EQ(simulation.accepted(), config.jobs);
     EXPECT_GT(simulation.storm_polls(), 2000);
-    // What went to the dead controller meanwhile is not answered.
+    // Queries sent to the controller while it is down get no answer.
     EXPECT_GT(simulation.storm_answers(), simulation.storm_polls() * 0.9);
-    // One read serves all that wait, and writes are not held up by it.
+    // One read serves all waiting queries, so queries take few calls and hold
+    // up no writes.
     EXPECT_LT(simulation.state_calls(), 30000u);
   }
 }
 
-// Its clocks run on: what it finds on waking (reports, requests, its own lease
-// and fencing token) is a minute old and more.
+// A paused process's clocks run on. When it resumes, the heartbeats and
+// requests that it has queued, its own lease and its fencing token are more
+// than a minute old.
 TEST(Operations, AControllerStandsStillForAMinuteAndMore) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationConfig config = CalmConfig(seed);
@@ -57,9 +61,10 @@
   }
 }
 
-// The leader loses its workers, no answer and no refusal: each waits four
-// seconds for it and is heard by the same other controller every five and a
-// half. The partition is handed over before their leases run out.
+// The leader's workers cannot reach it and get neither an answer nor a refusal.
+// Each waits four seconds for the leader and so reaches the same other
+// controller every 5.5 s. The partition must be handed over before the workers'
+// leases expire.
 TEST(Operations, WorkersThatLoseTheirOwnerFindAnotherInTime) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     SimulationConfig config = CalmConfig(seed);
@@ -78,16 +83,17 @@
     simulation.CalmFrom(80);
     simulation.Run();
     ExpectRulesKept(simulation);
-    // The first few are sent back to it; without the hint that workers with
-    // its fencing token cannot reach it 20 to 36 tasks were lost.
+    // The first few workers are still redirected to the leader. Without the
+    // hint that workers with its fencing token cannot reach it, 20 to 36 tasks
+    // were lost.
     EXPECT_LE(simulation.lost_with_lease(), 8) << simulation.Story();
   }
 }
 
-// One controller owns all partitions for a minute and a half, and they want to
-// write more often than the state service allows: each gets its turn. Without
-// turns the first one took every token as soon as it came, and the
-// others stored nothing for as long as that lasted.
+// One controller owns all partitions for a minute and a half, and together they
+// have more to write than the state service allows. Each must get its turn:
+// without turns the first partition took every write token as soon as there was
+// one, and the others stored nothing meanwhile.
 TEST(Operations, PartitionsOfOneOwnerTakeTurnsToWrite) {
   constexpr uint32_t kPartitions = 3;
   for (uint64_t seed = 1; seed <= 3; ++seed) {
@@ -112,7 +118,8 @@
     });
     simulation.At(30, [&count] { count(-1); });
     simulation.At(110, [&count] { count(1); });
-    // Users of the model ask dead controllers too, which no load balancer does.
+    // The simulated users also send requests to controllers that are down,
+    // which a load balancer would not do, so times are checked only from here.
     simulation.CalmFrom(120);
     simulation.Run();
     ExpectRulesKept(simulation);
@@ -123,9 +130,9 @@
   }
 }
 
-// Allotments of teams with large limits change in steps: with a write for each
-// change of use, they took up nearly half of what the state service allows. A
-// limit that is short is shared out exactly all the same.
+// Quota shares of teams with large limits change in steps. With a write for
+// each change of use they took nearly half of the writes that the state service
+// allows. A limit that is nearly used up is still shared out exactly.
 TEST(Operations, QuotaSharesOfLargeTeamsChangeSeldom) {
   constexpr double kLarge = 400;
   constexpr double kShort = 100;
@@ -150,8 +157,9 @@
   }
 }
 
-// Chunks of a large job have hundreds of tasks, far more than a small value can
-// say of as many machines: no more of them start than fit, and all end.
+// Chunks of a large job have hundreds of tasks, and a small value cannot hold
+// assignments to as many machines. Only as many tasks as fit may be assigned at
+// a time, and all must end.
 TEST(Operations, LargeJobsFitIntoSmallValues) {
   SimulationConfig config = CalmConfig(1);
   config.jobs = 5;
@@ -161,7 +169,7 @@
   config.machine_step_s = 0.25;
   ClusterSimulation simulation(config);
   simulation.AddGuestJobAt(51, "run-500000", 8000, 4, 8);
-  // All machines become free for it at one moment.
+  // All machines become free for the larger job at one moment.
   simulation.AddGuestJobAt(1, "run-500001", 400, 30, 8);
   simulation.At(20, [&] { simulation.StopState(Seconds(30)); });
   simulation.Run();
@@ -169,8 +177,9 @@
   EXPECT_GE(simulation.starts_of("run-500000"), 8000);
 }
 
-// A guest's swarm of jobs of one task each costs few writes, and its large
-// array begins soon and ends, while those with a guarantee are served.
+// A team with neither a guarantee nor a limit submits 300 jobs of one task each
+// and a large array. The small jobs must cost few writes and the array must
+// start soon and end, while jobs of teams with a guarantee are served.
 TEST(Operations, GuestsAreServedAndDelayNobody) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     SimulationConfig config = CalmConfig(seed);
@@ -197,9 +206,10 @@
   }
 }
 
-// Jobs that were submitted with a mistake fail on every machine, while some
-// machines fail whatever they start: the one is told from the other, both back
-// off, and the jobs stay known until their users cancel them.
+// Jobs that were submitted with a mistake fail on every machine, while faulty
+// machines fail every task. Only the faulty machines are quarantined, and the
+// faulty jobs are retried more and more rarely and stay known until their users
+// cancel them.
 TEST(Operations, FaultyJobsAreToldFromSickMachines) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     SimulationConfig config = CalmConfig(seed);
--- a/tests/overlapping_failures_test.cc
+++ b/tests/overlapping_failures_test.cc
@@ -1,6 +1,7 @@
-// Failures that overlap, each brought about on purpose over the real core in
-// the simulated deployment, watched by the plain model. docs/testing.md
-// has the table: overlap, rules at stake, guard, test, what was found.
+// Failures that overlap. Each test schedules one combination over the real core
+// in the simulated deployment, whose reference model checks the rules.
+// docs/testing.md has the table: combination, rules at stake, what guards them,
+// test, what was found.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,11 +11,13 @@
 namespace pitchfall::sim {
 namespace {
 
-// ---- The gap ----
+// ---- Cancellations that an owner misses during an outage ----
 
-// The state service refuses the leader alone, another controller confirms
-// cancellations, and then nobody reaches it for longer than `cancel_s`, while
-// workers go on reporting to the old leader.
+// Schedules a cancellation that the leader cannot read: from `at` the state
+// service is cut off from the leader alone, 0.5 s later another controller
+// confirms cancellations, and 1 s after that the state service fails for
+// everybody for longer than `cancel_s`, while workers go on reporting to the
+// old leader. The machines of the cancelled tasks hang for `hang_s` seconds.
 void CancellationInOutage(ClusterSimulation& simulation, double at,
                           double hang_s = 0) {
   simulation.At(at, [&simulation] {
@@ -48,8 +51,8 @@
   }
 }
 
-// Cut from the others too it hears of nothing, and only its own bound ends what
-// it keeps alive.
+// Cut off from its peers too, the owner learns of no cancellation. Only the
+// limit on how long it may answer without the state service ends the tasks.
 TEST(CancellationInOutage, WithTheOwnerCutFromItsPeers) {
   Play(
       {},
@@ -64,13 +67,14 @@
       },
       [](ClusterSimulation& simulation) {
         EXPECT_GT(simulation.cancelled(), 0);
-        // Nobody answeres for it: what it ran is lost to the lease.
+        // Once the owner may no longer answer, nobody answers its workers:
+        // their leases expire and their tasks are lost.
         EXPECT_GT(simulation.lost_with_lease(), 0);
       });
 }
 
-// The partition is taken over just before the outage: some workers follow the
-// new owner and some the old.
+// The partition is taken over just before the outage, so that some workers
+// report to the new owner and some to the old one.
 TEST(CancellationInOutage, WithATakeoverJustBefore) {
   Play({}, [](ClusterSimulation& simulation) {
     simulation.At(30, [&simulation] {
@@ -102,7 +106,8 @@
   });
 }
 
-// It stands still between deciding to answer and answering.
+// The owner's process is paused between deciding to answer a heartbeat and
+// sending the answer.
 TEST(CancellationInOutage, WithAnOwnerThatStandsStill) {
   Play({}, [](ClusterSimulation& simulation) {
     CancellationInOutage(simulation, 30);
@@ -123,8 +128,9 @@
   });
 }
 
-// Controllers that hear of each other keep running work alive through an
-// outage much longer than the bound: nothing is lost to the lease.
+// Controllers that receive each other's heartbeats may go on answering workers
+// through an outage much longer than the limit for a controller by itself: no
+// task is lost because its worker's lease expired.
 TEST(CancellationInOutage, CostsNoRunningWork) {
   Play([](SimulationConfig& config) { config.nodes = 5; },
        [](ClusterSimulation& simulation) {
@@ -136,9 +142,9 @@
        });
 }
 
-// One that is back in the middle may have told users in its former incarnation
-// what nobody here knows: then the bound counts from the last read, and work is
-// lost.
+// A controller that restarts during the outage may have confirmed cancellations
+// in its earlier incarnation that no other controller knows. Its echoes do not
+// count, so the limit runs from the last read, and tasks are lost.
 TEST(CancellationInOutage, EchoesOfARestartedControllerDoNotCount) {
   Play([](SimulationConfig& config) { config.nodes = 5; },
        [](ClusterSimulation& simulation) {
@@ -152,7 +158,7 @@
        });
 }
 
-// ---- The overlaps of the operators' list, in its order ----
+// ---- The combinations of the operators' list, in its order ----
 
 TEST(OverlappingFailures, JobsBoundToOneZoneLoseMachines) {
   Play([](SimulationConfig& config) { config.capacity = 30; },
@@ -272,7 +278,8 @@
         config.late_heartbeat_s = 25;
       },
       [](ClusterSimulation& simulation) {
-        // Sessions end, and what they ran starts elsewhere.
+        // Leases expire, agent epochs end with them, and the tasks start on
+        // other machines.
         for (int i = 0; i < 3; ++i) {
           simulation.At(20 + 25 * i, [&simulation] {
             simulation.CutMachines(0.5, 9, false);
@@ -438,8 +445,9 @@
   }
 }
 
-// Most machines die with the leader, and the cloud cannot confirm it: what the
-// former owner had bound is gone when its last answers' leases must be over.
+// Most machines die with the leader, and the cloud cannot confirm it. Tasks
+// bound by the former owner count as gone once every lease that it can have
+// granted must have expired.
 TEST(OverlappingFailures, MostMachinesDieWithTheLeaderWhileTheCloudIsAway) {
   Play(
       [](SimulationConfig& config) {
@@ -452,7 +460,8 @@
           simulation.CrashAllNodes(0.3);
           simulation.StopCloud(160);
         });
-        // The machines that are left have capacity soon.
+        // The remaining machines soon have free capacity, so the checks for
+        // calm times apply although the cloud is still down.
         simulation.CalmFrom(31);
       });
 }
