--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -1,4 +1,4 @@
-// Telling faulty jobs from faulty machines.
+// Whether a failure is attributed to the job or to the machine.
 #include "core/partition/failure_tracker.h"
 
 #include <gtest/gtest.h>
@@ -9,9 +9,11 @@
 namespace pitchfall {
 namespace {
 
+// Whether other tasks of the job have completed.
 constexpr bool kSucceedsElsewhere = true;
 constexpr bool kNeverSucceeded = false;
 
+// Records failures at one moment.
 class FailureTrackerTest : public ::testing::Test {
  protected:
   FailureTracker::FaultVerdict Fail(const std::string& machine,
@@ -32,7 +34,7 @@
   EXPECT_TRUE(third.job_at_fault);
   EXPECT_FALSE(third.machine_at_fault);
   EXPECT_EQ(third.machines, 3u);
-  // Any machine will do for the next try, after a while.
+  // The next attempt waits, and may then run on any machine.
   EXPECT_TRUE(tracker_.MachinesToAvoid("run-1", now_).empty());
   EXPECT_FALSE(tracker_.MayRetry("run-1", now_));
   EXPECT_TRUE(tracker_.MayRetry("run-1", now_ + third.retry_in));
@@ -54,7 +56,7 @@
 
 TEST_F(FailureTrackerTest, AMachineIsAtFaultForJobsThatSucceedElsewhere) {
   EXPECT_TRUE(Fail("m-new", "run-1", kSucceedsElsewhere).machine_at_fault);
-  // One that has completed tasks is given a second chance.
+  // A machine that has completed tasks may fail once without being at fault.
   EXPECT_TRUE(tracker_.RecordSuccess("m-old", "run-2").empty());
   EXPECT_FALSE(Fail("m-old", "run-3", kSucceedsElsewhere).machine_at_fault);
   EXPECT_TRUE(Fail("m-old", "run-3", kSucceedsElsewhere).machine_at_fault);
@@ -79,8 +81,8 @@
   EXPECT_FALSE(Fail("m-4", "run-3", kNeverSucceeded).machine_at_fault);
 }
 
-// There may be no other machine, and a task must not wait beside free capacity
-// for ever.
+// There may be no other machine, and a task must not wait for ever while there
+// is free capacity.
 TEST_F(FailureTrackerTest, MachinesAreAvoidedForAWhile) {
   Fail("m-1", "run-1", kNeverSucceeded);
   tracker_.RecordReplicaEnd("m-2", "run-1", now_);
@@ -89,14 +91,14 @@
   EXPECT_EQ(tracker_.MachinesToAvoid("run-1", now_ + Seconds(15)),
             std::set<std::string>{"m-1"});
   EXPECT_TRUE(tracker_.MachinesToAvoid("run-1", now_ + Seconds(60)).empty());
-  // The end of a replica that has run well blames nobody.
+  // The end of a replica that had run well does not count as a failure.
   EXPECT_EQ(tracker_.FailedJobsOn("m-2"), 0u);
 }
 
 TEST_F(FailureTrackerTest, ASuccessElsewhereShowsWhichMachinesWereAtFault) {
   Fail("m-1", "run-1", kNeverSucceeded);
   Fail("m-2", "run-1", kNeverSucceeded);
-  // m-2 has completed something since, so its error was not its own.
+  // m-2 has completed a task since, so it is not at fault.
   tracker_.RecordSuccess("m-2", "run-2");
   EXPECT_EQ(tracker_.RecordSuccess("m-3", "run-1"),
             std::vector<std::string>{"m-1"});
--- a/tests/partition_units_test.cc
+++ b/tests/partition_units_test.cc
@@ -1,4 +1,4 @@
-// The collaborators of a partition, each by itself.
+// The classes that a partition consists of, each by itself.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -31,6 +31,7 @@
 constexpr uint64_t kFencingToken = 7;
 constexpr char kJob[] = "run-000001";
 
+// One controller, two zones, and a team without a limit.
 Deployment SmallDeployment() {
   Deployment deployment;
   deployment.label = "node-0";
@@ -44,6 +45,7 @@
   return deployment;
 }
 
+// A job whose tasks take one processor each and are expected to run for 100 s.
 JobSpec SmallJob(uint32_t tasks = 4) {
   JobSpec spec;
   spec.id = kJob;
@@ -56,8 +58,8 @@
   return spec;
 }
 
-// A partition's collaborators share these; each test constructs the one that it
-// is about.
+// What the classes of a partition share. Each test constructs the class that it
+// is about. The state is read, and this controller owns partition 0.
 class PartitionUnit : public ::testing::Test {
  protected:
   explicit PartitionUnit(uint32_t partitions = 1)
@@ -66,19 +68,21 @@
         entitlement_(context(), term_),
         responder_(context(), term_, entitlement_, machines_),
         faults_(environment_.out, environment_.state_cache, machines_) {
-    environment_.Read();  // the list
-    environment_.Read();  // what came since
+    environment_.Read();  // the list of all keys
+    environment_.Read();  // the changes since
     term_.since = context().now();
   }
 
   Context& context() { return environment_.context; }
 
+  // Puts the job into the state cache, in chunks of four tasks.
   void StoreJob(const JobSpec& spec, uint64_t revision = 101) {
     JobRecord record;
     record.spec = spec;
     record.chunk_size = 4;
     environment_.state_cache.Apply({keys::Job(spec.id), record, revision});
   }
+  // Puts the first chunk of kJob into the state cache.
   void StoreChunk(std::vector<Assignment> assigned, uint64_t revision = 102) {
     ChunkRecord record;
     record.assigned = std::move(assigned);
@@ -86,9 +90,11 @@
     environment_.state_cache.Apply(
         {keys::Segment(0, 0), SegmentRecord{{{kJob, 0, record}}}, revision});
   }
+  // The job kJob, which must be stored.
   const Job& StoredJob() { return *environment_.state_cache.FindJob(kJob); }
 
-  // A machine of four processors that takes tasks.
+  // Registers a machine of four processors that has just reported and takes
+  // tasks, or brings a registered one up to date.
   Machine& AddMachine(const std::string& name, const std::string& zone = "a") {
     Machine& machine = machines_.GetOrAdd(name);
     machine.heartbeat = WorkerHeartbeat{};
@@ -104,12 +110,15 @@
     machine.heard = machine.last_answer = context().now();
     return machine;
   }
+  // Binds the first attempt of a task of kJob, without its resources.
   BoundAttempt& Bind(Machine& machine, uint32_t task = 0) {
     BoundAttempt& attempt = machine.bound[{kJob, task}];
     attempt.job = &StoredJob();
     attempt.attempt = 1;
     return attempt;
   }
+  // A heartbeat without tasks, from a worker that has seen this owner's fencing
+  // token.
   WorkerHeartbeat HeartbeatOf(const std::string& name, uint64_t epoch,
                               uint64_t sequence) {
     WorkerHeartbeat heartbeat;
@@ -143,6 +152,7 @@
   RescheduleSignal reschedule_;
 };
 
+// The same with a second partition, to which chunks can be transferred.
 class TwoPartitionsUnit : public PartitionUnit {
  protected:
   TwoPartitionsUnit() : PartitionUnit(2) {}
@@ -246,7 +256,7 @@
 TEST_F(PartitionUnit, AMachineIsGoneOnceItsLeaseHasExpired) {
   MachineHealth health(context(), term_, machines_, responder_, reschedule_);
   Machine& machine = AddMachine("m-1");
-  // The lease, 0.1% for drift, and half a second.
+  // The lease of 10 s, 0.1% for clock drift, and a margin of 0.5 s.
   environment_.Advance(Seconds(10.51));
   health.UpdateLease(machine);
   EXPECT_FALSE(machine.gone);
@@ -507,11 +517,13 @@
   EXPECT_FALSE(sizes.FitsSegmentWithOneMore(kJob, 0, chunk));
 }
 
-// What the committer makes of a status, and whether it writes on.
+// Which outcome the committer derives from the status of a reply, and whether
+// it accepts another write after it.
 class CommitterTest : public PartitionUnit {
  protected:
   CommitterTest() : committer_(std::make_unique<Committer>(context(), term_)) {}
 
+  // Writes one load record.
   void Commit() {
     Transaction transaction;
     transaction.conditions.push_back({keys::Partition(0), kFencingToken});
@@ -523,6 +535,7 @@
           outcome_ = outcome;
         });
   }
+  // Answers the write. `failed` lists the keys whose conditions did not hold.
   void Reply(int status, std::vector<std::string> failed = {}) {
     StateReply reply;
     reply.status = status;
@@ -532,6 +545,7 @@
   }
 
   std::unique_ptr<Committer> committer_;
+  // The outcome of the last write that got one; none before.
   std::optional<CommitOutcome> outcome_;
 };
 
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -1,5 +1,6 @@
-// Random schedules of crashes, cuts, delays, duplicates and outages over the
-// real core, watched by the plain model in sim/cluster_simulation.
+// Random schedules of crashes, network partitions, delays, duplicates and
+// outages over the real core, checked by the reference model in
+// sim/cluster_simulation.h.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,17 +10,18 @@
 namespace pitchfall::sim {
 namespace {
 
+// The parameter is the seed of the schedule.
 class Schedules : public ::testing::TestWithParam<uint64_t> {};
 
 TEST_P(Schedules, KeepTheRules) {
   SimulationConfig config;
   config.seed = GetParam();
-  config.partition_count = GetParam() % 4;  // 0: as many as controllers
+  config.partition_count = GetParam() % 4;  // 0: one for each controller
   ClusterSimulation simulation(config);
   simulation.Run();
   EXPECT_TRUE(simulation.violations().empty()) << simulation.Story();
   EXPECT_GT(simulation.starts(), 0);
-  // Nothing is lost: with the faults over, all that was accepted ends.
+  // No job is lost: once the faults are over, every accepted job ends.
   EXPECT_EQ(simulation.accepted(), config.jobs) << simulation.Story();
   EXPECT_EQ(simulation.finished(), simulation.accepted()) << simulation.Story();
 }
@@ -36,7 +38,7 @@
   EXPECT_EQ(simulation.finished(), config.jobs);
 }
 
-// Many controllers, machines by the hundred, and everything that can go wrong.
+// Seven controllers, hundreds of machines, and all random faults.
 TEST(ManyControllers, KeepTheRules) {
   for (uint64_t seed : {1, 2}) {
     SimulationConfig config;
@@ -53,8 +55,8 @@
   }
 }
 
-// Many small jobs that start at once: a transaction takes only so many
-// conditions, and one that is refused for its size would be refused for ever.
+// Many small jobs start at once. A transaction with more conditions than the
+// state service takes would be refused at every retry.
 TEST(ManyJobsAtOnce, FitIntoTransactions) {
   SimulationConfig config;
   config.nodes = 1;
@@ -72,9 +74,9 @@
   }
 }
 
-// Two thousand machines under one controller, each full of tasks, which end all
-// at once: what has to be stored then is far more than a transaction takes, and
-// a partition whose every draft is too large would stand still for ever.
+// Two thousand machines under one controller are full of tasks that all end at
+// once. Their ends are far more than a transaction takes, and a partition whose
+// every draft is too large would never store anything again.
 TEST(LargeFleet, ManyEndsAtOnceFitIntoTransactions) {
   SimulationConfig config;
   config.nodes = 1;
@@ -98,7 +100,7 @@
   EXPECT_EQ(simulation.accepted(), config.wide_jobs);
   EXPECT_EQ(simulation.finished(), config.wide_jobs) << simulation.Story();
   EXPECT_LE(simulation.largest_transaction(), 64u * 1024);
-  // Some 8,000 tasks start and end: writes carry many of them each.
+  // Some 8,000 tasks start and end, so each write must carry many of them.
   EXPECT_LT(simulation.state_calls(), 8000u);
   for (const std::string& line : simulation.log()) {
     EXPECT_EQ(line.find("write_refused"), std::string::npos) << line;
@@ -106,10 +108,10 @@
   }
 }
 
-// Faults of the fleet's kind and length, many leases long, over and in each
-// other: controllers that wake up with what had queued up meanwhile, zones cut
-// off with controllers in them, machines cut off or hanging by the dozen, all
-// controllers back while the state service is not.
+// Failures of whole groups, many leases long and overlapping: paused
+// controllers that resume with the messages queued meanwhile, zones cut off
+// with controllers in them, dozens of machines cut off or hung, and all
+// controllers restarted while the state service is down.
 TEST(FleetFailures, KeepTheRules) {
   for (uint64_t seed = 1; seed <= 16; ++seed) {
     SimulationConfig config;
@@ -132,7 +134,8 @@
   }
 }
 
-// The faults of the list of overlaps, at random moments and over the others.
+// The faults of the combinations in docs/testing.md, at random moments and
+// together with the basic faults.
 TEST(RandomCompoundFailures, KeepTheRules) {
   for (uint64_t seed = 1; seed <= 16; ++seed) {
     SimulationConfig config;
@@ -154,15 +157,16 @@
   }
 }
 
-// Its heartbeats arrive, answers and commands do not: the machine is recognised
-// by what its heartbeats fail to show, and its tasks run elsewhere.
+// The machine's heartbeats arrive, but answers and commands do not reach it. It
+// is recognised because its heartbeats do not show what was sent to it, and its
+// tasks run on other machines.
 TEST(InboundCutMachine, IsDeletedAndItsWorkMoves) {
   for (size_t nodes : {1, 3}) {
     for (uint64_t seed = 1; seed <= 5; ++seed) {
       SimulationConfig config;
       config.seed = seed;
       config.nodes = nodes;
-      // A single controller hears it often enough not to call it silent.
+      // Often enough that a single controller does not find it silent.
       config.heartbeat_s = 2;
       config.fault_interval = Duration(0);
       config.team_limit = 60;
@@ -180,7 +184,8 @@
   }
 }
 
-// Copies of heartbeats up to many leases late, also of machines that are gone.
+// Copies of heartbeats arrive up to ten leases late, also those of machines
+// that are gone.
 TEST(LateHeartbeats, DoNotReviveMachines) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     SimulationConfig config;
@@ -198,8 +203,9 @@
   }
 }
 
-// A controller that has lost the state service and the others, but not its
-// workers, sends users elsewhere; its tasks end once, wherever they run.
+// A controller is cut off from the state service and its peers, but not from
+// its workers. It reports itself unhealthy, so that users ask other
+// controllers, and its tasks end exactly once, wherever they run.
 TEST(IsolatedController, SendsUsersElsewhere) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     SimulationConfig config;
@@ -217,8 +223,8 @@
   }
 }
 
-// Processes that are back within a fraction of a second, their former
-// incarnation's key still there, in the middle of whatever was going on.
+// Processes restart within a fraction of a second, while the key of their
+// former incarnation still exists and other operations are in progress.
 TEST(QuickRestarts, KeepTheRules) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     SimulationConfig config;
@@ -233,8 +239,8 @@
   }
 }
 
-// A large job of no importance begins within four minutes although urgent ones
-// use up its team's limit all the time, and ends when they do.
+// A large job of low priority begins within four minutes although urgent jobs
+// use up its team's limit all the time, and ends once the urgent jobs end.
 TEST(CrowdedCluster, LetsALargeJobBegin) {
   SimulationConfig config;
   config.fault_interval = Duration(0);
@@ -250,9 +256,8 @@
   EXPECT_EQ(simulation.finished(), simulation.accepted()) << simulation.Story();
 }
 
-// The checks can fail: with a state service that ignores conditions, or
-// machines that go on after a deletion was confirmed, some schedule breaks a
-// rule, and the model says so.
+// The checks can fail: with a state service that ignores conditions, or workers
+// that ignore stops, some schedule breaks a rule, and the model reports it.
 TEST(SeededFault, IgnoredConditionsAreNoticed) {
   int noticed = 0;
   for (uint64_t seed = 1; seed <= 10; ++seed) {
@@ -274,7 +279,7 @@
     config.seed = seed;
     config.longest_run_s = 60;
     config.workers_ignore_stops = true;
-    config.team_limit = 60;  // what is cancelled runs already
+    config.team_limit = 60;  // cancelled jobs already run
     ClusterSimulation simulation(config);
     simulation.Run();
     noticed += !simulation.violations().empty();
--- a/tests/standing_jobs_test.cc
+++ b/tests/standing_jobs_test.cc
@@ -1,5 +1,5 @@
-// Standing jobs: their replicas run until the job is cancelled, and run again
-// elsewhere whenever they end.
+// Standing jobs (services): their replicas run until the job is cancelled, and
+// a replica that ends is started again.
 #include <gtest/gtest.h>
 
 #include "core/model/job.h"
@@ -45,7 +45,7 @@
       EXPECT_EQ(simulation.replicas_up(kService), 0);
     });
     simulation.At(70, [&] { EXPECT_EQ(simulation.replicas_up(kService), 6); });
-    // Again and again: it is never given up.
+    // Replicas that end repeatedly are still started again.
     for (int second = 75; second < 105; second += 5) {
       simulation.At(second, [&] { simulation.EndReplicas(1); });
     }
@@ -75,7 +75,7 @@
   });
 }
 
-// Services take part in random schedules of all faults.
+// Services run in random schedules that together have all kinds of faults.
 TEST(StandingJobs, KeepTheRulesInRandomSchedules) {
   for (uint64_t seed = 101; seed <= 112; ++seed) {
     SCOPED_TRACE(seed);
@@ -111,6 +111,7 @@
   return spec;
 }
 
+// `limit`: the processors that the team may use; 0 if it has no limit.
 Deployment TeamOf(double limit) {
   Deployment d;
   d.teams["red"] = {.name = "red", .cpus_limit = Resources::FromDecimal(limit)};
@@ -126,7 +127,8 @@
   EXPECT_TRUE(WhyImpossible(Service(1, 9), TeamOf(0), types, 8192));
 }
 
-// An estimate of 0 must not make a service look as if it were done at once.
+// A service has an estimate of 0, which must not be taken for work that is done
+// at once.
 TEST(StandingJobs, AskForAllTheirRoomAndGoFirst) {
   StateCache state_cache;
   JobRecord service;
@@ -151,7 +153,7 @@
   EXPECT_EQ(demand.requested.cpus, Resources::FromDecimal(8));
 }
 
-// What an earlier version noted as done is not done.
+// Replicas that an earlier version has stored as done count as waiting.
 TEST(StandingJobs, ReplicasAreNeverDone) {
   StateCache state_cache;
   JobRecord record;
@@ -170,8 +172,8 @@
   EXPECT_EQ(Describe(job, true).status, JobAnswer::Status::kQueued);
 }
 
-// Stopped for a replica: what is less important and loses least, and no more
-// than needed.
+// To make capacity for a replica, tasks of lower priority are stopped: those
+// that lose the least work, and no more than needed.
 TEST(FindDisplacement, ChoosesTheLeastWorkOfLowerPriority) {
   Job low;
   low.record.spec = Service(8, 2);
@@ -207,7 +209,7 @@
   EXPECT_EQ(found->tasks.size(), 2u);
   EXPECT_FALSE(
       FindDisplacement(Service(1, 6), machine, ExpectedCapacity(machine), now));
-  // One that is stopping already makes the room.
+  // A task that is already stopping makes enough capacity.
   machine.bound.at({"run-5", 1}).preempted = true;
   found =
       FindDisplacement(Service(1, 2), machine, ExpectedCapacity(machine), now);
