--- a/tests/partition_units_test.cc
+++ b/tests/partition_units_test.cc
@@ -161,7 +161,7 @@
 TEST_F(PartitionUnit, EntitlementEndsAtALaterTokenAndNamesThePeerThatClaims) {
   EXPECT_TRUE(entitlement_.MayAnswer());
   entitlement_.OnPeerClaim("node-1", kFencingToken);
-  EXPECT_TRUE(entitlement_.MayAnswer()) << "the same token is no later one";
+  EXPECT_TRUE(entitlement_.MayAnswer()) << "an equal token is not a later one";
   EXPECT_FALSE(entitlement_.OnFencingToken(kFencingToken));
   entitlement_.OnPeerClaim("node-1", kFencingToken + 1);
   EXPECT_FALSE(entitlement_.MayAnswer());
@@ -244,13 +244,13 @@
   machine.pending_request = 3;
   machine.pending_since = context().now();
   responder_.AnswerHeartbeats(context().now() - Millis(1));
-  EXPECT_EQ(ReplyStatus(), 0) << "it came later";
+  EXPECT_EQ(ReplyStatus(), 0) << "the heartbeat came after the given time";
   responder_.AnswerHeartbeats(context().now());
   EXPECT_EQ(ReplyStatus(), 200);
   EXPECT_TRUE(attempt.start_sent);
   EXPECT_EQ(machine.pending_request, 0u);
   responder_.AnswerHeartbeats(context().now());
-  EXPECT_EQ(ReplyStatus(), 0) << "answered already";
+  EXPECT_EQ(ReplyStatus(), 0) << "the heartbeat has been answered";
 }
 
 TEST_F(PartitionUnit, AMachineIsGoneOnceItsLeaseHasExpired) {
@@ -322,10 +322,12 @@
   BoundAttempt& attempt = Bind(machine);
   machine.cordoned = true;
   drainer.Drain(machine);
-  EXPECT_FALSE(attempt.drain_requested) << "there is no other machine";
+  EXPECT_FALSE(attempt.drain_requested)
+      << "no other machine can take the replica";
   AddMachine("m-2", "b");
   drainer.Drain(machine);
-  EXPECT_FALSE(attempt.drain_requested) << "not in the same zone";
+  EXPECT_FALSE(attempt.drain_requested)
+      << "the other machine is in another zone";
   AddMachine("m-3");
   drainer.Drain(machine);
   EXPECT_TRUE(attempt.drain_requested);
@@ -342,10 +344,10 @@
   machine.cordoned = true;
   attempt.running_since = context().now() - Seconds(31);
   drainer.Drain(machine);
-  EXPECT_FALSE(attempt.drain_requested) << "it has only begun";
+  EXPECT_FALSE(attempt.drain_requested) << "the task has only begun";
   attempt.running_since = context().now() - Seconds(95);
   drainer.Drain(machine);
-  EXPECT_FALSE(attempt.drain_requested) << "it is about to end";
+  EXPECT_FALSE(attempt.drain_requested) << "the task is about to end";
   attempt.running_since = context().now() - Seconds(40);
   drainer.Drain(machine);
   EXPECT_TRUE(attempt.drain_requested);
@@ -447,7 +449,7 @@
   PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
   SteadyTime now = context().now();
   transfer.AddTransfers(pending, StoredJob(), now);
-  EXPECT_TRUE(pending.transfers.empty()) << "it has only begun to wait";
+  EXPECT_TRUE(pending.transfers.empty()) << "the job has only begun to wait";
   transfer.AddTransfers(pending, StoredJob(), now - Seconds(1));
   ASSERT_TRUE(pending.transfers.contains(kJob));
   EXPECT_EQ(pending.transfers[kJob][0].partition, 1u);
@@ -496,7 +498,7 @@
   reporter.OnStored(pending);
   PendingTransaction again({4, 4, TransactionBudget::kUnlimited});
   reporter.AddLoad(again);
-  EXPECT_FALSE(again.load) << "stored already";
+  EXPECT_FALSE(again.load) << "this period's load is stored";
   environment_.Advance(environment_.tuning.period);
   reporter.AddLoad(again);
   EXPECT_TRUE(again.load);
@@ -598,7 +600,7 @@
   Reply(200);
   EXPECT_TRUE(advanced);
   EXPECT_EQ(committer_->write_fence(), 200u);
-  EXPECT_TRUE(committer_->busy()) << "the state is read once more";
+  EXPECT_TRUE(committer_->busy()) << "the state must be read first";
   environment_.Read();
   EXPECT_FALSE(committer_->busy());
   EXPECT_FALSE(committer_->outcome_unknown());
