--- a/tests/answer_bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -18,14 +18,14 @@
 
 // Three controllers. The lease and the time in which cancelled tasks must have
 // stopped leave 17.9735 s for answers without a read of the state.
-Deployment HuntSized() {
-  Deployment d;
-  d.label = "node-0";
-  d.peers = {{"node-1", ""}, {"node-2", ""}};
-  d.worker_lease = Seconds(26.5);
-  d.cancel = Seconds(46.5);
-  d.heartbeat_interval = Seconds(5);
-  return d;
+Deployment ThreeNodeDeployment() {
+  Deployment deployment;
+  deployment.label = "node-0";
+  deployment.peers = {{"node-1", ""}, {"node-2", ""}};
+  deployment.worker_lease = Seconds(26.5);
+  deployment.cancel = Seconds(46.5);
+  deployment.heartbeat_interval = Seconds(5);
+  return deployment;
 }
 
 // The owner of partition 0 in a deployment of three controllers. Tests make the
@@ -33,14 +33,14 @@
 class AnswerBound : public ::testing::Test {
  protected:
   AnswerBound()
-      : deployment_(HuntSized()),
+      : deployment_(ThreeNodeDeployment()),
         requests_(1000, 1000),
         writes_(1000, 1000),
         cloud_(1000, 1000),
-        state_watcher_(tuning_, out_, state_cache_, requests_),
+        state_watcher_(tuning_, outbox_, state_cache_, requests_),
         context_{deployment_,
                  tuning_,
-                 out_,
+                 outbox_,
                  state_cache_,
                  state_watcher_,
                  requests_,
@@ -53,31 +53,31 @@
                  StateLimits(deployment_)} {
     tuning_.heartbeat_hold = Duration(0);
     SetNow(Seconds(1000));
-    Read();  // the list of all keys
-    Read();  // the changes since; the state is now known as of this read
+    ReadState();  // the list of all keys
+    ReadState();  // the changes since; the state is now known as of this read
     current_as_of_ = now_.steady;
     partition_ = std::make_unique<Partition>(context_, 0, kFencingToken);
   }
 
   void SetNow(Duration at) {
     now_ = {SteadyTime(at), WallTime(at)};
-    out_.set_now(now_);
+    outbox_.set_now(now_);
   }
   void Advance(Duration by) { SetNow(now_.steady.time_since_epoch() + by); }
 
   // Lets the state watcher make one read 500 ms from now, which succeeds at
   // once.
-  void Read() {
+  void ReadState() {
     Advance(Millis(500));
     state_watcher_.Step();
-    for (const Effect& effect : out_.TakeEffects()) {
+    for (const Effect& effect : outbox_.TakeEffects()) {
       const auto* call = std::get_if<StateCall>(&effect);
       if (call == nullptr) continue;
       StateReply reply;
       reply.call = call->call;
       reply.status = 200;
       reply.revision = 100;
-      out_.Handle(reply);
+      outbox_.Handle(reply);
     }
   }
 
@@ -103,7 +103,7 @@
   int StatusOfHeartbeat(uint64_t seq, std::vector<ReportedTask> tasks = {}) {
     partition_->OnWorkerHeartbeat(seq, HeartbeatOf(seq, std::move(tasks)));
     partition_->Step();
-    effects_ = out_.TakeEffects();
+    effects_ = outbox_.TakeEffects();
     for (const Effect& effect : effects_) {
       const auto* reply = std::get_if<Reply>(&effect);
       if (reply != nullptr && reply->request == seq) {
@@ -129,7 +129,7 @@
 
   Deployment deployment_;
   Tuning tuning_;
-  Outbox out_;
+  Outbox outbox_;
   StateCache state_cache_;
   TokenBucket requests_;
   TokenBucket writes_;
@@ -148,7 +148,7 @@
 // - lease 26.5 s with 0.1% for drift (26.5265 s) - margin 2 s. With a later
 // answer, a task whose cancellation was confirmed right after that read might
 // not stop in time on a worker whose clock is slow.
-TEST_F(AnswerBound, EndsWhereACancellationCouldComeTooLate) {
+TEST_F(AnswerBound, EndsBeforeACancellationCouldTakeEffectTooLate) {
   Advance(Millis(17973));
   EXPECT_EQ(StatusOfHeartbeat(1), 200);
   Advance(Millis(1));
@@ -204,7 +204,7 @@
             now_.steady);
 }
 
-TEST_F(AnswerBound, EchoesOfAnEarlierIncarnationOrFromStrangersDoNotCount) {
+TEST_F(AnswerBound, EchoesToAnEarlierIncarnationOrFromUnknownNodesDoNotCount) {
   Advance(Seconds(10));
   for (const char* label : {"node-1", "node-2"}) {
     PeerHeartbeat heartbeat = PeerEcho(label, now_.steady);
@@ -227,7 +227,7 @@
 
 // A heartbeat with an older echo that was delayed in the network does not move
 // the watermark back.
-TEST_F(AnswerBound, OldEchoesAreNoNews) {
+TEST_F(AnswerBound, OldEchoesDoNotMoveTheWatermarkBack) {
   Advance(Seconds(10));
   SteadyTime then = now_.steady;
   for (const char* label : {"node-1", "node-2"}) {
@@ -241,7 +241,7 @@
             then);
 }
 
-TEST_F(AnswerBound, AloneNobodyElseCanHaveToldAnything) {
+TEST_F(AnswerBound, WithoutPeersAllCancellationsAreKnown) {
   deployment_.peers.clear();
   CancellationWatermark alone(deployment_, "node-0", "life");
   SteadyTime later = current_as_of_ + Seconds(1000);
@@ -251,7 +251,7 @@
 // Once another controller claims the partition with a higher fencing token, the
 // owner answers no worker, however recent its last read is, and redirects
 // workers to that controller.
-TEST_F(AnswerBound, EndsWhenALaterOwnerIsHeard) {
+TEST_F(AnswerBound, EndsWhenALaterOwnerClaimsThePartition) {
   partition_->OnPeerClaim("node-2", kFencingToken - 1);  // an earlier one
   EXPECT_EQ(StatusOfHeartbeat(1), 200);
   partition_->OnPeerClaim("node-2", kFencingToken + 1);
@@ -265,13 +265,13 @@
 // write fence as a condition, so the fence is advanced before anything else is
 // written, and later writes have the new revision of the fence as a condition.
 TEST_F(AnswerBound, AfterAWriteWithoutAnAnswerTheFenceIsRaisedFirst) {
-  auto write = [this]() -> std::optional<StateCall> {
+  auto next_write = [this]() -> std::optional<StateCall> {
     for (int step = 0; step < 100; ++step) {
       Advance(Millis(50));
       partition_->Step();
       state_watcher_.Step();
       std::optional<StateCall> found;
-      for (const Effect& effect : out_.TakeEffects()) {
+      for (const Effect& effect : outbox_.TakeEffects()) {
         const auto* call = std::get_if<StateCall>(&effect);
         if (call == nullptr) continue;
         if (std::holds_alternative<Transaction>(call->request)) {
@@ -282,7 +282,7 @@
         read.call = call->call;
         read.status = 200;
         read.revision = 100;
-        out_.Handle(read);
+        outbox_.Handle(read);
       }
       if (found) return found;
     }
@@ -293,7 +293,7 @@
     reply.call = call.call;
     reply.status = status;
     reply.revision = revision;
-    out_.Handle(reply);
+    outbox_.Handle(reply);
   };
   auto fence_in = [](const StateCall& call) -> std::optional<uint64_t> {
     for (const auto& c : std::get<Transaction>(call.request).conditions) {
@@ -301,7 +301,7 @@
     }
     return std::nullopt;
   };
-  std::optional<StateCall> lost = write();  // the periodic load record
+  std::optional<StateCall> lost = next_write();  // the periodic load record
   ASSERT_TRUE(lost);
   EXPECT_EQ(fence_in(*lost), 0u);
   // Like every write of an owner it also has the ownership as a condition.
@@ -312,19 +312,19 @@
                                    condition.mod_revision == kFencingToken;
                           }));
   answer(*lost, 0, 0);
-  std::optional<StateCall> fence = write();
+  std::optional<StateCall> fence = next_write();
   ASSERT_TRUE(fence);
   const auto& raised = std::get<Transaction>(fence->request);
   ASSERT_EQ(raised.writes.size(), 1u);
   EXPECT_EQ(raised.writes[0].key, keys::WriteFence(0, kFencingToken));
   // The answer to the advance is lost too, so it is repeated.
   answer(*fence, 0, 0);
-  fence = write();
+  fence = next_write();
   ASSERT_TRUE(fence);
   ASSERT_EQ(std::get<Transaction>(fence->request).writes[0].key,
             keys::WriteFence(0, kFencingToken));
   answer(*fence, 200, 150);
-  std::optional<StateCall> next = write();
+  std::optional<StateCall> next = next_write();
   ASSERT_TRUE(next);
   EXPECT_EQ(fence_in(*next), 150u);
 }
@@ -379,17 +379,17 @@
     return count;
   }
   // Lets the partition run after `by`, and returns the calls that stop tasks.
-  std::vector<WorkerCall> StepLater(Duration by) {
+  std::vector<WorkerCall> StopCallsAfter(Duration by) {
     Advance(by);
     partition_->Step();
-    effects_ = out_.TakeEffects();
+    effects_ = outbox_.TakeEffects();
     return StopCalls();
   }
 };
 
 // A start is sent in the answer to a heartbeat, and the job is cancelled before
 // the next heartbeat shows the task.
-TEST_F(DirectStops, ReachAStartThatNoHeartbeatShowsYet) {
+TEST_F(DirectStops, AreSentForAStartThatNoHeartbeatShowsYet) {
   BoundAttempt own;
   own.job = state_cache_.FindJob("run-1");
   own.attempt = 1;
@@ -408,7 +408,7 @@
 
 // Assigned tasks are started only while the last read of the state is less than
 // two seconds old.
-TEST_F(DirectStops, NothingStartsOnOldKnowledge) {
+TEST_F(DirectStops, NothingStartsWhileTheLastReadIsOld) {
   writes_.Drain(now_.steady);  // no write can be sent meanwhile
   StatusOfHeartbeat(1);        // the first after a silence may be an old copy
   Advance(Millis(2000));
@@ -420,7 +420,7 @@
 // tasks that are bound to it but not started are unbound. If its next heartbeat
 // comes while that is being stored, the task must not start on it, because it
 // may start on another machine as soon as the write is stored.
-TEST_F(DirectStops, NothingStartsWhoseEndIsBeingStored) {
+TEST_F(DirectStops, NoTaskStartsWhileItsEndIsBeingStored) {
   auto storing = [this]() -> const StateCall* {
     for (const Effect& effect : effects_) {
       const auto* call = std::get_if<StateCall>(&effect);
@@ -441,7 +441,7 @@
   StateReply refused;
   refused.call = id;
   refused.status = 503;
-  out_.Handle(refused);
+  outbox_.Handle(refused);
   Advance(Millis(500));
   partition_->Step();
   Advance(Millis(100));
@@ -459,28 +459,28 @@
   EXPECT_TRUE(StopCalls().empty());
   // Another controller has reported that it stored the cancellation.
   context_.cancelled_by_peers.insert("run-1");
-  std::vector<WorkerCall> first = StepLater(Millis(50));
+  std::vector<WorkerCall> first = StopCallsAfter(Millis(50));
   ASSERT_EQ(first.size(), 1u);
-  EXPECT_TRUE(StepLater(Millis(50)).empty());  // call in progress
+  EXPECT_TRUE(StopCallsAfter(Millis(50)).empty());  // call in progress
   for (int status : {0, 409, 503}) {
     WorkerReply failed;
     failed.call = first[0].call;
     failed.status = status;
-    out_.Handle(failed);
-    EXPECT_TRUE(StepLater(Millis(50)).empty());  // not retried at once
-    first = StepLater(Millis(1000));
+    outbox_.Handle(failed);
+    EXPECT_TRUE(StopCallsAfter(Millis(50)).empty());  // not retried at once
+    first = StopCallsAfter(Millis(1000));
     ASSERT_EQ(first.size(), 1u) << status;
   }
   WorkerReply done;
   done.call = first[0].call;
   done.status = 200;
-  out_.Handle(done);
-  EXPECT_TRUE(StepLater(Millis(2000)).empty());
+  outbox_.Handle(done);
+  EXPECT_TRUE(StopCallsAfter(Millis(2000)).empty());
 }
 
 // ---- The list of cancellations in heartbeats to peers ----
 
-TEST(CancelledSince, IsWholeOrNothing) {
+TEST(CancelledSince, ReturnsACompleteListOrNone) {
   StateCache state_cache;
   auto apply = [&](const std::string& id, uint64_t mod_revision,
                    JobState state) {
--- a/tests/compound_failures_test.cc
+++ b/tests/compound_failures_test.cc
@@ -143,7 +143,7 @@
 
 // Jobs are cancelled every 0.4 s while the owner's partition is handed over
 // (its workers cannot reach it) or taken over (its process ends).
-TEST(CompoundFailure, CancellationsWhilePartitionsChangeHands) {
+TEST(CompoundFailure, CancellationsDuringHandoversAndTakeovers) {
   for (bool handed_over : {false, true}) {
     Play([](SimulationConfig& config) { config.jobs = 40; },
          [handed_over](ClusterSimulation& simulation) {
--- a/tests/failure_tracker_test.cc
+++ b/tests/failure_tracker_test.cc
@@ -42,7 +42,7 @@
   EXPECT_TRUE(tracker_.FailingJobs(0).empty());
 }
 
-TEST_F(FailureTrackerTest, RetriesGrowRarerUpToAMinute) {
+TEST_F(FailureTrackerTest, RetryDelaysGrowToAMinute) {
   Duration before{0};
   for (int i = 0; i < 30; ++i) {
     FailureTracker::FaultVerdict failure =
--- a/tests/operations_test.cc
+++ b/tests/operations_test.cc
@@ -19,7 +19,7 @@
 // For a minute users query their jobs twenty times as often and ask fifty times
 // a second about jobs that nobody submitted, and a controller restarts
 // meanwhile. Nearly all queries are answered, and they delay nothing else.
-TEST(Operations, AStormOfQuestionsCrowdsNothingOut) {
+TEST(Operations, ABurstOfJobQueriesDelaysNothingElse) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     SimulationConfig config = CalmConfig(seed);
     config.jobs = 60;
@@ -41,7 +41,7 @@
 // A paused process's clocks run on. When it resumes, the heartbeats and
 // requests that it has queued, its own lease and its fencing token are more
 // than a minute old.
-TEST(Operations, AControllerStandsStillForAMinuteAndMore) {
+TEST(Operations, AControllerIsPausedForMoreThanAMinute) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationConfig config = CalmConfig(seed);
     config.longest_run_s = 40;
@@ -180,7 +180,7 @@
 // A team with neither a guarantee nor a limit submits 300 jobs of one task each
 // and a large array. The small jobs must cost few writes and the array must
 // start soon and end, while jobs of teams with a guarantee are served.
-TEST(Operations, GuestsAreServedAndDelayNobody) {
+TEST(Operations, TeamsWithoutAGuaranteeAreServedAndDelayNobody) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     SimulationConfig config = CalmConfig(seed);
     config.jobs = 20;
@@ -210,7 +210,7 @@
 // machines fail every task. Only the faulty machines are quarantined, and the
 // faulty jobs are retried more and more rarely and stay known until their users
 // cancel them.
-TEST(Operations, FaultyJobsAreToldFromSickMachines) {
+TEST(Operations, FaultyJobsAreDistinguishedFromFaultyMachines) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     SimulationConfig config = CalmConfig(seed);
     config.faulty_share = 0.2;
--- a/tests/overlapping_failures_test.cc
+++ b/tests/overlapping_failures_test.cc
@@ -18,8 +18,8 @@
 // confirms cancellations, and 1 s after that the state service fails for
 // everybody for longer than `cancel_s`, while workers go on reporting to the
 // old leader. The machines of the cancelled tasks hang for `hang_s` seconds.
-void CancellationInOutage(ClusterSimulation& simulation, double at,
-                          double hang_s = 0) {
+void ScheduleCancellationInOutage(ClusterSimulation& simulation, double at,
+                                  double hang_s = 0) {
   simulation.At(at, [&simulation] {
     simulation.CutNode(simulation.OwnerOf(0), {.state = true}, 4);
   });
@@ -28,18 +28,19 @@
   simulation.At(at + 1.5, [&simulation] { simulation.StopState(Seconds(30)); });
 }
 
-TEST(CancellationInOutage, CancelledTasksEndWhateverTheOwnerKnows) {
+TEST(CancellationInOutage,
+     CancelledTasksEndThoughTheOwnerCannotReadTheCancellation) {
   Play(
       {},
       [](ClusterSimulation& simulation) {
-        CancellationInOutage(simulation, 30);
+        ScheduleCancellationInOutage(simulation, 30);
       },
       [](ClusterSimulation& simulation) {
         EXPECT_GT(simulation.cancelled(), 0);
       });
 }
 
-TEST(CancellationInOutage, OfAnyPartitionsOwner) {
+TEST(CancellationInOutage, CancelledTasksEndWhicheverPartitionsOwnerIsCutOff) {
   for (uint32_t partition : {1u, 2u}) {
     Play({}, [partition](ClusterSimulation& simulation) {
       simulation.At(30, [&simulation, partition] {
@@ -53,7 +54,8 @@
 
 // Cut off from its peers too, the owner learns of no cancellation. Only the
 // limit on how long it may answer without the state service ends the tasks.
-TEST(CancellationInOutage, WithTheOwnerCutFromItsPeers) {
+TEST(CancellationInOutage,
+     CancelledTasksEndWhenTheOwnerIsCutOffFromItsPeersToo) {
   Play(
       {},
       [](ClusterSimulation& simulation) {
@@ -75,7 +77,7 @@
 
 // The partition is taken over just before the outage, so that some workers
 // report to the new owner and some to the old one.
-TEST(CancellationInOutage, WithATakeoverJustBefore) {
+TEST(CancellationInOutage, CancelledTasksEndAfterATakeoverJustBefore) {
   Play({}, [](ClusterSimulation& simulation) {
     simulation.At(30, [&simulation] {
       simulation.CutNode(simulation.OwnerOf(0), {.state = true}, 60);
@@ -87,17 +89,18 @@
   });
 }
 
-TEST(CancellationInOutage, TwiceInARow) {
+TEST(CancellationInOutage, CancelledTasksEndInTwoOutagesInARow) {
   Play([](SimulationConfig& config) { config.jobs_within = Seconds(100); },
        [](ClusterSimulation& simulation) {
-         CancellationInOutage(simulation, 30);
-         CancellationInOutage(simulation, 66);
+         ScheduleCancellationInOutage(simulation, 30);
+         ScheduleCancellationInOutage(simulation, 66);
        });
 }
 
-TEST(CancellationInOutage, WithHungMachinesAndOneWayPartitions) {
+TEST(CancellationInOutage,
+     CancelledTasksEndWithHungMachinesAndOneWayPartitions) {
   Play({}, [](ClusterSimulation& simulation) {
-    CancellationInOutage(simulation, 30, 5);
+    ScheduleCancellationInOutage(simulation, 30, 5);
     simulation.At(30.3, [&simulation] {
       simulation.CutInbound(0.25, 25);
       simulation.CutOutbound(0.25, 25);
@@ -108,9 +111,9 @@
 
 // The owner's process is paused between deciding to answer a heartbeat and
 // sending the answer.
-TEST(CancellationInOutage, WithAnOwnerThatStandsStill) {
+TEST(CancellationInOutage, CancelledTasksEndWhenOwnersArePaused) {
   Play({}, [](ClusterSimulation& simulation) {
-    CancellationInOutage(simulation, 30);
+    ScheduleCancellationInOutage(simulation, 30);
     simulation.At(40, [&simulation] {
       simulation.FreezeNode(simulation.OwnerOf(0), 15);
     });
@@ -120,9 +123,9 @@
   });
 }
 
-TEST(CancellationInOutage, EndsInARestartOfAll) {
+TEST(CancellationInOutage, CancelledTasksEndWhenAllControllersRestart) {
   Play({}, [](ClusterSimulation& simulation) {
-    CancellationInOutage(simulation, 30);
+    ScheduleCancellationInOutage(simulation, 30);
     simulation.At(61.3, [&simulation] { simulation.CrashAllNodes(0.2); });
     simulation.At(62.5, [&simulation] { simulation.CrashAllNodes(0.2); });
   });
@@ -131,7 +134,7 @@
 // Controllers that receive each other's heartbeats may go on answering workers
 // through an outage much longer than the limit for a controller by itself: no
 // task is lost because its worker's lease expired.
-TEST(CancellationInOutage, CostsNoRunningWork) {
+TEST(CancellationInOutage, NoTaskIsLostWhileControllersHearEachOther) {
   Play([](SimulationConfig& config) { config.nodes = 5; },
        [](ClusterSimulation& simulation) {
          simulation.At(31.5,
@@ -145,7 +148,7 @@
 // A controller that restarts during the outage may have confirmed cancellations
 // in its earlier incarnation that no other controller knows. Its echoes do not
 // count, so the limit runs from the last read, and tasks are lost.
-TEST(CancellationInOutage, EchoesOfARestartedControllerDoNotCount) {
+TEST(CancellationInOutage, TasksAreLostWhenAControllerRestartsDuringTheOutage) {
   Play([](SimulationConfig& config) { config.nodes = 5; },
        [](ClusterSimulation& simulation) {
          simulation.At(31.5,
@@ -201,7 +204,7 @@
        });
 }
 
-TEST(OverlappingFailures, ControllersHandOverAndAllEndAndOneReturns) {
+TEST(OverlappingFailures, AllControllersCrashAfterATakeoverAndOneReturnsFirst) {
   Play({}, [](ClusterSimulation& simulation) {
     for (int i = 0; i < 4; ++i) {
       simulation.At(25 + 12 * i, [&simulation, i] {
@@ -218,7 +221,7 @@
   });
 }
 
-TEST(OverlappingFailures, MoreWorkThanRoomOverSlowLinks) {
+TEST(OverlappingFailures, MoreWorkThanCapacityOverSlowLinks) {
   Play(
       [](SimulationConfig& config) {
         config.jobs = 40;
@@ -309,7 +312,7 @@
       });
 }
 
-TEST(OverlappingFailures, CancellationsAndQuestionsMeetTheEndOfAJob) {
+TEST(OverlappingFailures, JobsAreCancelledAndQueriedAsTheyEnd) {
   Play(
       [](SimulationConfig& config) {
         config.odd_requests = true;
--- a/tests/partition_units_test.cc
+++ b/tests/partition_units_test.cc
@@ -187,7 +187,7 @@
       machines_.Find("m-2")->bound.begin()->second.bound_by_previous_owner);
 }
 
-TEST_F(PartitionUnit, BindingsEndWithTheirObject) {
+TEST_F(PartitionUnit, DestroyedBindingsDoNotFollowTheStateCache) {
   StoreJob(SmallJob());
   {
     AttemptBindings bindings(environment_.state_cache, 0, machines_, quota_,
@@ -211,7 +211,7 @@
   EXPECT_EQ(machines_.Find("m-1")->pending_request, 4u);
 }
 
-TEST_F(PartitionUnit, ADeletedMachineIsNotHeardAgain) {
+TEST_F(PartitionUnit, HeartbeatsOfADeletedMachineAreRefused) {
   HeartbeatHandler handler(context(), term_, machines_, entitlement_,
                            responder_, faults_);
   machines_.MarkDeleted("m-1");
@@ -304,7 +304,7 @@
   EXPECT_TRUE(MachineHealth::CanRemove(*machines_.Find("m-1")));
 }
 
-TEST_F(PartitionUnit, SilenceOfMostMachinesAtOnceIsNotBelieved) {
+TEST_F(PartitionUnit, NoMachineIsDeletedIfMostAreSilent) {
   MachineHealth health(context(), term_, machines_, responder_, reschedule_);
   for (const char* name : {"m-1", "m-2", "m-3"}) AddMachine(name);
   environment_.Advance(Seconds(8.1));
@@ -333,7 +333,7 @@
   EXPECT_TRUE(attempt.drain_requested);
 }
 
-TEST_F(PartitionUnit, TasksWithCheckpointsLeaveIfMuchIsLeftToDo) {
+TEST_F(PartitionUnit, TasksWithCheckpointsAreDrainedIfMuchIsLeftToDo) {
   JobSpec spec = SmallJob();
   spec.checkpoint = Seconds(10);
   spec.save = Seconds(1);
@@ -353,7 +353,7 @@
   EXPECT_TRUE(attempt.drain_requested);
 }
 
-TEST_F(PartitionUnit, EndsAreAddedOnProofAndFreeWhatTheyUsed) {
+TEST_F(PartitionUnit, ReportedEndsAreAddedAndFreeTheirResources) {
   StoreJob(SmallJob());
   StoreChunk({{0, 1, "m-1", "a"}, {1, 1, "m-1", "a"}});
   AttemptBindings bindings(environment_.state_cache, 0, machines_, quota_,
@@ -561,7 +561,7 @@
   EXPECT_EQ(environment_.state_cache.FindLoad(0)->mod_revision, 200u);
 }
 
-TEST_F(CommitterTest, WhatIsRefusedWasNotCarriedOut) {
+TEST_F(CommitterTest, ARefusedTransactionHasAKnownOutcome) {
   for (int status : {429, 503}) {
     Commit();
     Reply(status);
@@ -612,7 +612,7 @@
   EXPECT_TRUE(committer_->outcome_unknown());
 }
 
-TEST_F(CommitterTest, AReplyAfterItsEndIsDropped) {
+TEST_F(CommitterTest, AReplyAfterTheCommittersDestructionIsDropped) {
   Commit();
   committer_.reset();
   Reply(200);
--- a/tests/sim_test.cc
+++ b/tests/sim_test.cc
@@ -28,7 +28,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Schedules, ::testing::Range<uint64_t>(1, 41));
 
-TEST(QuietSchedule, FinishesEverything) {
+TEST(FaultFreeSchedule, FinishesAllJobs) {
   SimulationConfig config;
   config.fault_interval = Duration(0);
   config.lost_reply = config.late_copy = config.late_heartbeat = 0;
@@ -206,7 +206,7 @@
 // A controller is cut off from the state service and its peers, but not from
 // its workers. It reports itself unhealthy, so that users ask other
 // controllers, and its tasks end exactly once, wherever they run.
-TEST(IsolatedController, SendsUsersElsewhere) {
+TEST(IsolatedController, ReportsItselfUnhealthyToUsers) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     SimulationConfig config;
     config.seed = seed;
@@ -258,8 +258,8 @@
 
 // The checks can fail: with a state service that ignores conditions, or workers
 // that ignore stops, some schedule breaks a rule, and the model reports it.
-TEST(SeededFault, IgnoredConditionsAreNoticed) {
-  int noticed = 0;
+TEST(InjectedFault, IgnoredConditionsAreDetected) {
+  int schedules_with_violations = 0;
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     SimulationConfig config;
     config.seed = seed;
@@ -267,13 +267,13 @@
     config.state_ignores_conditions = true;
     ClusterSimulation simulation(config);
     simulation.Run();
-    noticed += !simulation.violations().empty();
+    schedules_with_violations += !simulation.violations().empty();
   }
-  EXPECT_GT(noticed, 0);
+  EXPECT_GT(schedules_with_violations, 0);
 }
 
-TEST(SeededFault, IgnoredStopsAreNoticed) {
-  int noticed = 0;
+TEST(InjectedFault, IgnoredStopsAreDetected) {
+  int schedules_with_violations = 0;
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     SimulationConfig config;
     config.seed = seed;
@@ -282,9 +282,9 @@
     config.team_limit = 60;  // cancelled jobs already run
     ClusterSimulation simulation(config);
     simulation.Run();
-    noticed += !simulation.violations().empty();
+    schedules_with_violations += !simulation.violations().empty();
   }
-  EXPECT_GT(noticed, 0);
+  EXPECT_GT(schedules_with_violations, 0);
 }
 
 }  // namespace
--- a/tests/standing_jobs_test.cc
+++ b/tests/standing_jobs_test.cc
@@ -15,7 +15,7 @@
 using sim::SimulationConfig;
 
 constexpr char kService[] = "run-600001";
-constexpr char kOther[] = "run-600002";
+constexpr char kOtherService[] = "run-600002";
 
 void StandingConfig(SimulationConfig& config) {
   config.jobs = 8;
@@ -25,15 +25,16 @@
 TEST(StandingJobs, RunUntilTheyAreCancelled) {
   sim::Play(StandingConfig, [](ClusterSimulation& simulation) {
     simulation.AddServiceAt(5, kService, 4, 2);
-    simulation.AddServiceAt(6, kOther, 3, 1).spread = true;
+    simulation.AddServiceAt(6, kOtherService, 3, 1).spread = true;
     simulation.At(40, [&] {
       EXPECT_EQ(simulation.replicas_up(kService), 4) << simulation.Story();
-      EXPECT_EQ(simulation.replicas_up(kOther), 3) << simulation.Story();
+      EXPECT_EQ(simulation.replicas_up(kOtherService), 3) << simulation.Story();
     });
     simulation.CancelAt(90, kService);
     simulation.At(112, [&] { EXPECT_EQ(simulation.replicas_up(kService), 0); });
-    simulation.At(150, [&] { EXPECT_EQ(simulation.replicas_up(kOther), 3); });
-    simulation.CancelAt(160, kOther);
+    simulation.At(150,
+                  [&] { EXPECT_EQ(simulation.replicas_up(kOtherService), 3); });
+    simulation.CancelAt(160, kOtherService);
   });
 }
 
@@ -59,7 +60,7 @@
 TEST(StandingJobs, ComeBackWhenMachinesAndControllersAreLost) {
   sim::Play(StandingConfig, [](ClusterSimulation& simulation) {
     simulation.AddServiceAt(5, kService, 5, 2);
-    simulation.AddServiceAt(5, kOther, 4, 2).one_zone = true;
+    simulation.AddServiceAt(5, kOtherService, 4, 2).one_zone = true;
     simulation.At(40, [&] { simulation.KillMachines(0.5); });
     simulation.At(
         41, [&] { simulation.CrashNode(simulation.OwnerOf(0), Seconds(3)); });
@@ -68,10 +69,10 @@
     simulation.At(90, [&] { simulation.CrashAllNodes(4); });
     simulation.At(165, [&] {
       EXPECT_EQ(simulation.replicas_up(kService), 5) << simulation.Story();
-      EXPECT_EQ(simulation.replicas_up(kOther), 4) << simulation.Story();
+      EXPECT_EQ(simulation.replicas_up(kOtherService), 4) << simulation.Story();
     });
     simulation.CancelAt(170, kService);
-    simulation.CancelAt(170, kOther);
+    simulation.CancelAt(170, kOtherService);
   });
 }
 
@@ -85,8 +86,8 @@
     config.fleet_faults = seed % 3 == 0;
     ClusterSimulation simulation(config);
     simulation.AddServiceAt(3, kService, 4, 1).spread = true;
-    simulation.AddServiceAt(20, kOther, 3, 2);
-    simulation.CancelAt(80, kOther);
+    simulation.AddServiceAt(20, kOtherService, 3, 2);
+    simulation.CancelAt(80, kOtherService);
     simulation.CancelAt(240, kService);
     simulation.At(200, [&] {
       int expected = simulation.called_off(kService) ? 0 : 4;
@@ -98,7 +99,7 @@
   }
 }
 
-JobSpec Service(uint32_t replicas, double cpus) {
+JobSpec ServiceSpec(uint32_t replicas, double cpus) {
   JobSpec spec;
   spec.id = "run-1";
   spec.team = "red";
@@ -112,44 +113,48 @@
 }
 
 // `limit`: the processors that the team may use; 0 if it has no limit.
-Deployment TeamOf(double limit) {
-  Deployment d;
-  d.teams["red"] = {.name = "red", .cpus_limit = Resources::FromDecimal(limit)};
-  return d;
+Deployment DeploymentWithTeamLimit(double limit) {
+  Deployment deployment;
+  deployment.teams["red"] = {.name = "red",
+                             .cpus_limit = Resources::FromDecimal(limit)};
+  return deployment;
 }
 
-TEST(StandingJobs, NeedRoomForAllReplicasWithinTheTeamsLimit) {
+TEST(StandingJobs, NeedCapacityForAllReplicasWithinTheTeamsLimit) {
   TypesRecord types;
   types.types.push_back({.name = "g8"});
   types.types[0].capacity = Resources::FromDecimals(8, 0, 32);
-  EXPECT_FALSE(WhyImpossible(Service(4, 2), TeamOf(8), types, 8192));
-  EXPECT_TRUE(WhyImpossible(Service(5, 2), TeamOf(8), types, 8192));
-  EXPECT_TRUE(WhyImpossible(Service(1, 9), TeamOf(0), types, 8192));
+  EXPECT_FALSE(WhyImpossible(ServiceSpec(4, 2), DeploymentWithTeamLimit(8),
+                             types, 8192));
+  EXPECT_TRUE(WhyImpossible(ServiceSpec(5, 2), DeploymentWithTeamLimit(8),
+                            types, 8192));
+  EXPECT_TRUE(WhyImpossible(ServiceSpec(1, 9), DeploymentWithTeamLimit(0),
+                            types, 8192));
 }
 
 // A service has an estimate of 0, which must not be taken for work that is done
 // at once.
-TEST(StandingJobs, AskForAllTheirRoomAndGoFirst) {
+TEST(StandingJobs, RequestAllTheirCapacityAndGoFirst) {
   StateCache state_cache;
   JobRecord service;
-  service.spec = Service(4, 2);
+  service.spec = ServiceSpec(4, 2);
   service.chunk_size = 1;
   JobRecord batch;
-  batch.spec = Service(4, 1);
+  batch.spec = ServiceSpec(4, 1);
   batch.spec.id = "run-0";
   batch.spec.shape = Shape::kArray;
   batch.spec.estimate = batch.spec.deadline.emplace(Seconds(30));
   batch.chunk_size = 8;
   state_cache.Apply({keys::Job("run-0"), batch, 1});
   state_cache.Apply({keys::Job("run-1"), service, 2});
-  Deployment d = TeamOf(100);
+  Deployment deployment = DeploymentWithTeamLimit(100);
   WallTime now{Seconds(5)};
-  auto order = OrderJobs(state_cache, now, d);
+  auto order = OrderJobs(state_cache, now, deployment);
   ASSERT_EQ(order.size(), 2u);
   EXPECT_EQ(order[0]->spec().id, "run-1");
-  EXPECT_EQ(UrgentFraction(*state_cache.FindJob("run-1"), now, d), 1);
+  EXPECT_EQ(UrgentFraction(*state_cache.FindJob("run-1"), now, deployment), 1);
   Demand demand =
-      MeasureDemand(state_cache, d, {"run-0"}, now, 1, std::nullopt);
+      MeasureDemand(state_cache, deployment, {"run-0"}, now, 1, std::nullopt);
   EXPECT_EQ(demand.requested.cpus, Resources::FromDecimal(8));
 }
 
@@ -157,7 +162,7 @@
 TEST(StandingJobs, ReplicasAreNeverDone) {
   StateCache state_cache;
   JobRecord record;
-  record.spec = Service(3, 1);
+  record.spec = ServiceSpec(3, 1);
   record.chunk_size = 3;
   state_cache.Apply({keys::Job("run-1"), record, 1});
   ChunkRecord chunk;
@@ -176,7 +181,7 @@
 // that lose the least work, and no more than needed.
 TEST(FindDisplacement, ChoosesTheLeastWorkOfLowerPriority) {
   Job low;
-  low.record.spec = Service(8, 2);
+  low.record.spec = ServiceSpec(8, 2);
   low.record.spec.id = "run-5";
   low.record.spec.shape = Shape::kArray;
   low.record.spec.priority = Priority::kLow;
@@ -186,33 +191,33 @@
   Machine machine;
   machine.capacity = Resources::FromDecimals(8, 0, 32);
   SteadyTime now{Seconds(100)};
-  auto hold = [&](const Job& job, uint32_t task, double ran_s) {
+  auto bind = [&](const Job& job, uint32_t task, double ran_s) {
     BoundAttempt bound;
     bound.job = &job;
     bound.running_since = now - Seconds(ran_s);
     machine.bound[{job.spec().id, task}] = bound;
     machine.used += job.spec().resources;
   };
-  hold(low, 0, 40);
-  hold(low, 1, 5);
-  hold(same, 0, 1);
-  hold(same, 1, 1);
-  auto found =
-      FindDisplacement(Service(1, 2), machine, ExpectedCapacity(machine), now);
+  bind(low, 0, 40);
+  bind(low, 1, 5);
+  bind(same, 0, 1);
+  bind(same, 1, 1);
+  auto found = FindDisplacement(ServiceSpec(1, 2), machine,
+                                ExpectedCapacity(machine), now);
   ASSERT_TRUE(found);
   ASSERT_EQ(found->tasks.size(), 1u);
   EXPECT_EQ(found->tasks[0], TaskKey("run-5", 1));
   EXPECT_EQ(found->lost_cpu_s, 10);
-  found =
-      FindDisplacement(Service(1, 4), machine, ExpectedCapacity(machine), now);
+  found = FindDisplacement(ServiceSpec(1, 4), machine,
+                           ExpectedCapacity(machine), now);
   ASSERT_TRUE(found);
   EXPECT_EQ(found->tasks.size(), 2u);
-  EXPECT_FALSE(
-      FindDisplacement(Service(1, 6), machine, ExpectedCapacity(machine), now));
+  EXPECT_FALSE(FindDisplacement(ServiceSpec(1, 6), machine,
+                                ExpectedCapacity(machine), now));
   // A task that is already stopping makes enough capacity.
   machine.bound.at({"run-5", 1}).preempted = true;
-  found =
-      FindDisplacement(Service(1, 2), machine, ExpectedCapacity(machine), now);
+  found = FindDisplacement(ServiceSpec(1, 2), machine,
+                           ExpectedCapacity(machine), now);
   ASSERT_TRUE(found);
   EXPECT_TRUE(found->tasks.empty());
 }
