--- a/tests/partition_units_test.cc
+++ b/tests/partition_units_test.cc
@@ -1,4 +1,4 @@
-// The collaborators of a partition, each by itself.
+// The classes that a partition consists of, each by itself.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -31,6 +31,7 @@
 constexpr uint64_t kFencingToken = 7;
 constexpr char kJob[] = "run-000001";
 
+// One controller, two zones, and a team without a limit.
 Deployment SmallDeployment() {
   Deployment deployment;
   deployment.label = "node-0";
@@ -44,6 +45,7 @@
   return deployment;
 }
 
+// A job whose tasks take one processor each and are expected to run for 100 s.
 JobSpec SmallJob(uint32_t tasks = 4) {
   JobSpec spec;
   spec.id = kJob;
@@ -56,8 +58,8 @@
   return spec;
 }
 
-// A partition's collaborators share these; each test constructs the one that it
-// is about.
+// What the classes of a partition share. Each test constructs the class that it
+// is about. The state is read, and this controller owns partition 0.
 class PartitionUnit : public ::testing::Test {
  protected:
   explicit PartitionUnit(uint32_t partitions = 1)
@@ -66,19 +68,21 @@
         entitlement_(context(), term_),
         responder_(context(), term_, entitlement_, machines_),
         faults_(environment_.out, environment_.state_cache, machines_) {
-    environment_.Read();  // the list
-    environment_.Read();  // what came since
+    environment_.Read();  // the list of all keys
+    environment_.Read();  // the changes since
     term_.since = context().now();
   }
 
   Context& context() { return environment_.context; }
 
+  // Puts the job into the state cache, in chunks of four tasks.
   void StoreJob(const JobSpec& spec, uint64_t revision = 101) {
     JobRecord record;
     record.spec = spec;
     record.chunk_size = 4;
     environment_.state_cache.Apply({keys::Job(spec.id), record, revision});
   }
+  // Puts the first chunk of kJob into the state cache.
   void StoreChunk(std::vector<Assignment> assigned, uint64_t revision = 102) {
     ChunkRecord record;
     record.assigned = std::move(assigned);
@@ -86,9 +90,11 @@
     environment_.state_cache.Apply(
         {keys::Segment(0, 0), SegmentRecord{{{kJob, 0, record}}}, revision});
   }
+  // The job kJob, which must be stored.
   const Job& StoredJob() { return *environment_.state_cache.FindJob(kJob); }
 
-  // A machine of four processors that takes tasks.
+  // Registers a machine of four processors that has just reported and takes
+  // tasks, or brings a registered one up to date.
   Machine& AddMachine(const std::string& name, const std::string& zone = "a") {
     Machine& machine = machines_.GetOrAdd(name);
     machine.heartbeat = WorkerHeartbeat{};
@@ -104,12 +110,15 @@
     machine.heard = machine.last_answer = context().now();
     return machine;
   }
+  // Binds the first attempt of a task of kJob, without its resources.
   BoundAttempt& Bind(Machine& machine, uint32_t task = 0) {
     BoundAttempt& attempt = machine.bound[{kJob, task}];
     attempt.job = &StoredJob();
     attempt.attempt = 1;
     return attempt;
   }
+  // A heartbeat without tasks, from a worker that has seen this owner's fencing
+  // token.
   WorkerHeartbeat HeartbeatOf(const std::string& name, uint64_t epoch,
                               uint64_t sequence) {
     WorkerHeartbeat heartbeat;
@@ -143,6 +152,7 @@
   RescheduleSignal reschedule_;
 };
 
+// The same with a second partition, to which chunks can be transferred.
 class TwoPartitionsUnit : public PartitionUnit {
  protected:
   TwoPartitionsUnit() : PartitionUnit(2) {}
@@ -151,7 +161,7 @@
 TEST_F(PartitionUnit, EntitlementEndsAtALaterTokenAndNamesThePeerThatClaims) {
   EXPECT_TRUE(entitlement_.MayAnswer());
   entitlement_.OnPeerClaim("node-1", kFencingToken);
-  EXPECT_TRUE(entitlement_.MayAnswer()) << "the same token is no later one";
+  EXPECT_TRUE(entitlement_.MayAnswer()) << "an equal token is not a later one";
   EXPECT_FALSE(entitlement_.OnFencingToken(kFencingToken));
   entitlement_.OnPeerClaim("node-1", kFencingToken + 1);
   EXPECT_FALSE(entitlement_.MayAnswer());
@@ -177,7 +187,7 @@
       machines_.Find("m-2")->bound.begin()->second.bound_by_previous_owner);
 }
 
-TEST_F(PartitionUnit, BindingsEndWithTheirObject) {
+TEST_F(PartitionUnit, DestroyedBindingsDoNotFollowTheStateCache) {
   StoreJob(SmallJob());
   {
     AttemptBindings bindings(environment_.state_cache, 0, machines_, quota_,
@@ -201,7 +211,7 @@
   EXPECT_EQ(machines_.Find("m-1")->pending_request, 4u);
 }
 
-TEST_F(PartitionUnit, ADeletedMachineIsNotHeardAgain) {
+TEST_F(PartitionUnit, HeartbeatsOfADeletedMachineAreRefused) {
   HeartbeatHandler handler(context(), term_, machines_, entitlement_,
                            responder_, faults_);
   machines_.MarkDeleted("m-1");
@@ -234,19 +244,19 @@
   machine.pending_request = 3;
   machine.pending_since = context().now();
   responder_.AnswerHeartbeats(context().now() - Millis(1));
-  EXPECT_EQ(ReplyStatus(), 0) << "it came later";
+  EXPECT_EQ(ReplyStatus(), 0) << "the heartbeat came after the given time";
   responder_.AnswerHeartbeats(context().now());
   EXPECT_EQ(ReplyStatus(), 200);
   EXPECT_TRUE(attempt.start_sent);
   EXPECT_EQ(machine.pending_request, 0u);
   responder_.AnswerHeartbeats(context().now());
-  EXPECT_EQ(ReplyStatus(), 0) << "answered already";
+  EXPECT_EQ(ReplyStatus(), 0) << "the heartbeat has been answered";
 }
 
 TEST_F(PartitionUnit, AMachineIsGoneOnceItsLeaseHasExpired) {
   MachineHealth health(context(), term_, machines_, responder_, reschedule_);
   Machine& machine = AddMachine("m-1");
-  // The lease, 0.1% for drift, and half a second.
+  // The lease of 10 s, 0.1% for clock drift, and a margin of 0.5 s.
   environment_.Advance(Seconds(10.51));
   health.UpdateLease(machine);
   EXPECT_FALSE(machine.gone);
@@ -294,7 +304,7 @@
   EXPECT_TRUE(MachineHealth::CanRemove(*machines_.Find("m-1")));
 }
 
-TEST_F(PartitionUnit, SilenceOfMostMachinesAtOnceIsNotBelieved) {
+TEST_F(PartitionUnit, NoMachineIsDeletedIfMostAreSilent) {
   MachineHealth health(context(), term_, machines_, responder_, reschedule_);
   for (const char* name : {"m-1", "m-2", "m-3"}) AddMachine(name);
   environment_.Advance(Seconds(8.1));
@@ -312,16 +322,18 @@
   BoundAttempt& attempt = Bind(machine);
   machine.cordoned = true;
   drainer.Drain(machine);
-  EXPECT_FALSE(attempt.drain_requested) << "there is no other machine";
+  EXPECT_FALSE(attempt.drain_requested)
+      << "no other machine can take the replica";
   AddMachine("m-2", "b");
   drainer.Drain(machine);
-  EXPECT_FALSE(attempt.drain_requested) << "not in the same zone";
+  EXPECT_FALSE(attempt.drain_requested)
+      << "the other machine is in another zone";
   AddMachine("m-3");
   drainer.Drain(machine);
   EXPECT_TRUE(attempt.drain_requested);
 }
 
-TEST_F(PartitionUnit, TasksWithCheckpointsLeaveIfMuchIsLeftToDo) {
+TEST_F(PartitionUnit, TasksWithCheckpointsAreDrainedIfMuchIsLeftToDo) {
   JobSpec spec = SmallJob();
   spec.checkpoint = Seconds(10);
   spec.save = Seconds(1);
@@ -332,16 +344,16 @@
   machine.cordoned = true;
   attempt.running_since = context().now() - Seconds(31);
   drainer.Drain(machine);
-  EXPECT_FALSE(attempt.drain_requested) << "it has only begun";
+  EXPECT_FALSE(attempt.drain_requested) << "the task has only begun";
   attempt.running_since = context().now() - Seconds(95);
   drainer.Drain(machine);
-  EXPECT_FALSE(attempt.drain_requested) << "it is about to end";
+  EXPECT_FALSE(attempt.drain_requested) << "the task is about to end";
   attempt.running_since = context().now() - Seconds(40);
   drainer.Drain(machine);
   EXPECT_TRUE(attempt.drain_requested);
 }
 
-TEST_F(PartitionUnit, EndsAreAddedOnProofAndFreeWhatTheyUsed) {
+TEST_F(PartitionUnit, ReportedEndsAreAddedAndFreeTheirResources) {
   StoreJob(SmallJob());
   StoreChunk({{0, 1, "m-1", "a"}, {1, 1, "m-1", "a"}});
   AttemptBindings bindings(environment_.state_cache, 0, machines_, quota_,
@@ -437,7 +449,7 @@
   PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
   SteadyTime now = context().now();
   transfer.AddTransfers(pending, StoredJob(), now);
-  EXPECT_TRUE(pending.transfers.empty()) << "it has only begun to wait";
+  EXPECT_TRUE(pending.transfers.empty()) << "the job has only begun to wait";
   transfer.AddTransfers(pending, StoredJob(), now - Seconds(1));
   ASSERT_TRUE(pending.transfers.contains(kJob));
   EXPECT_EQ(pending.transfers[kJob][0].partition, 1u);
@@ -486,7 +498,7 @@
   reporter.OnStored(pending);
   PendingTransaction again({4, 4, TransactionBudget::kUnlimited});
   reporter.AddLoad(again);
-  EXPECT_FALSE(again.load) << "stored already";
+  EXPECT_FALSE(again.load) << "this period's load is stored";
   environment_.Advance(environment_.tuning.period);
   reporter.AddLoad(again);
   EXPECT_TRUE(again.load);
@@ -507,11 +519,13 @@
   EXPECT_FALSE(sizes.FitsSegmentWithOneMore(kJob, 0, chunk));
 }
 
-// What the committer makes of a status, and whether it writes on.
+// Which outcome the committer derives from the status of a reply, and whether
+// it accepts another write after it.
 class CommitterTest : public PartitionUnit {
  protected:
   CommitterTest() : committer_(std::make_unique<Committer>(context(), term_)) {}
 
+  // Writes one load record.
   void Commit() {
     Transaction transaction;
     transaction.conditions.push_back({keys::Partition(0), kFencingToken});
@@ -523,6 +537,7 @@
           outcome_ = outcome;
         });
   }
+  // Answers the write. `failed` lists the keys whose conditions did not hold.
   void Reply(int status, std::vector<std::string> failed = {}) {
     StateReply reply;
     reply.status = status;
@@ -532,6 +547,7 @@
   }
 
   std::unique_ptr<Committer> committer_;
+  // The outcome of the last write that got one; none before.
   std::optional<CommitOutcome> outcome_;
 };
 
@@ -545,7 +561,7 @@
   EXPECT_EQ(environment_.state_cache.FindLoad(0)->mod_revision, 200u);
 }
 
-TEST_F(CommitterTest, WhatIsRefusedWasNotCarriedOut) {
+TEST_F(CommitterTest, ARefusedTransactionHasAKnownOutcome) {
   for (int status : {429, 503}) {
     Commit();
     Reply(status);
@@ -584,7 +600,7 @@
   Reply(200);
   EXPECT_TRUE(advanced);
   EXPECT_EQ(committer_->write_fence(), 200u);
-  EXPECT_TRUE(committer_->busy()) << "the state is read once more";
+  EXPECT_TRUE(committer_->busy()) << "the state must be read first";
   environment_.Read();
   EXPECT_FALSE(committer_->busy());
   EXPECT_FALSE(committer_->outcome_unknown());
@@ -596,7 +612,7 @@
   EXPECT_TRUE(committer_->outcome_unknown());
 }
 
-TEST_F(CommitterTest, AReplyAfterItsEndIsDropped) {
+TEST_F(CommitterTest, AReplyAfterTheCommittersDestructionIsDropped) {
   Commit();
   committer_.reset();
   Reply(200);
