--- a/src/cli/deployment_file.cc
+++ b/src/cli/deployment_file.cc
@@ -148,7 +148,7 @@
   Deployment d;
   d.label = root.Text("label");
   d.zone = root.Text("site");
-  d.front = root.HostAndPort("front");
+  d.listen_address = root.HostAndPort("front");
   d.peer_bind = root.HostAndPort("peer_bind");
   for (const Table& peer : root.Children("known")) {
     d.peers.push_back({peer.Text("label"), peer.HostAndPort("address")});
@@ -157,12 +157,12 @@
     }
   }
   Table services = root.Child("services");
-  d.cloud = services.HostAndPort("cloud");
+  d.cloud_address = services.HostAndPort("cloud");
   d.state_address = services.HostAndPort("state");
 
   Table cluster = root.Child("cluster");
   d.zones = cluster.TextList("zones");
-  d.time_bound =
+  d.max_clock_error =
       Seconds(cluster.NumberOr("time_bound_ms", 0, kMaxNumber, 0) / 1e3);
   for (const Table& row : cluster.Children("teams")) {
     Team team;
@@ -186,8 +186,8 @@
   Table workers = cluster.Child("workers");
   d.heartbeat_interval = Seconds(workers.Number("report_s", 0.01, kMaxNumber));
   d.worker_lease = Seconds(workers.Number("lease_s", 0.1, kMaxNumber));
-  d.cancel = Seconds(workers.Number("cancel_s", 0.1, kMaxNumber));
-  if (d.cancel <= d.worker_lease) {
+  d.cancel_time_limit = Seconds(workers.Number("cancel_s", 0.1, kMaxNumber));
+  if (d.cancel_time_limit <= d.worker_lease) {
     workers.Fail("cancel_s", "must be more than lease_s");
   }
   Table state = cluster.Child("state");
--- a/src/cli/tuning_file.cc
+++ b/src/cli/tuning_file.cc
@@ -39,9 +39,9 @@
     {"chunk-tasks", 1, 128, &Tuning::chunk_tasks},
     {"claim-delay", 0, 60, &Tuning::transfer_delay},
     {"handover-after", 1, 3600, &Tuning::handover_after},
-    {"period", 1, 600, &Tuning::period},
+    {"period", 1, 600, &Tuning::sizing_period},
     {"horizon", 1, 20, &Tuning::horizon},
-    {"tracking-r", 0, 1000, &Tuning::tracking_r},
+    {"tracking-r", 0, 1000, &Tuning::move_weight},
     {"delay-price", 0, 1000, &Tuning::delay_price},
     {"delay-bound", 0.1, 3600, &Tuning::delay_bound},
 };
--- a/src/core/autoscaler/autoscaler.cc
+++ b/src/core/autoscaler/autoscaler.cc
@@ -10,7 +10,7 @@
 
 constexpr Duration kAdjustInterval = Millis(1000);
 // Q: the weight of the tracking error (in machines), relative to the weight R
-// of a move, which Tuning::tracking_r sets.
+// of a move, which Tuning::move_weight sets.
 constexpr double kTrackingErrorWeight = 1.0;
 // In machines. A move that exceeds a whole number by less than this does so by
 // a rounding error and must not request one more machine.
@@ -20,27 +20,30 @@
 
 Autoscaler::Autoscaler(Context& context, uint64_t fencing_token)
     : context_(context),
-      state_writer_(context.out, context.tuning, context.requests,
-                    context.writes, context.state_watcher, fencing_token),
-      machine_types_(context.out, context.tuning, context.state_cache,
-                     context.cloud, state_writer_),
-      inventory_(context.out, context.deployment, context.tuning,
-                 context.state_cache, machine_types_, context.cloud),
-      requests_(context.out, context.deployment, context.tuning,
-                context.state_cache, context.state_limits, context.cloud,
-                state_writer_, inventory_, fencing_token),
+      state_writer_(context.outbox, context.tuning,
+                    context.state_request_bucket, context.state_write_bucket,
+                    context.state_watcher, fencing_token),
+      machine_types_(context.outbox, context.tuning, context.state_cache,
+                     context.cloud_call_bucket, state_writer_),
+      inventory_(context.outbox, context.deployment, context.tuning,
+                 context.state_cache, machine_types_,
+                 context.cloud_call_bucket),
+      requests_(context.outbox, context.deployment, context.tuning,
+                context.state_cache, context.state_limits,
+                context.cloud_call_bucket, state_writer_, inventory_,
+                fencing_token),
       scale_out_(context.state_cache, machine_types_, inventory_, requests_),
-      scale_in_(context.out, context.tuning, context.state_cache,
+      scale_in_(context.outbox, context.tuning, context.state_cache,
                 context.state_limits, machine_types_, inventory_,
                 state_writer_),
-      sizing_history_(context.out, context.tuning, context.state_cache,
+      sizing_history_(context.outbox, context.tuning, context.state_cache,
                       context.state_limits, machine_types_, state_writer_) {
-  context_.out.Log(LogLevel::kInfo, "event=leading token={}", fencing_token);
+  context_.outbox.Log(LogLevel::kInfo, "event=leading token={}", fencing_token);
 }
 
-void Autoscaler::Step() {
+void Autoscaler::RunDueWork() {
   const SteadyTime now = context_.now();
-  if (!context_.state_watcher.Fresh()) return;
+  if (!context_.state_watcher.IsFresh()) return;
   machine_types_.FetchIfDue();
   inventory_.ListIfDue();
   requests_.Reconcile();
@@ -91,7 +94,7 @@
   return MeasureDemand(
       context_.state_cache, context_.deployment,
       FailingJobs(context_.state_cache, context_.partition_count),
-      context_.out.now().wall, context_.partition_count, std::nullopt);
+      context_.outbox.now().wall, context_.partition_count, std::nullopt);
 }
 
 // Updates the target and returns by how many machines to move towards it now;
@@ -101,13 +104,13 @@
   const SizingTargets targets = sizing_history_.TargetsFor(demand);
   const double move =
       sizing::FirstMove(count, targets.by_period, kTrackingErrorWeight,
-                        context_.tuning.tracking_r);
+                        context_.tuning.move_weight);
   decision_.target = static_cast<int>(targets.by_period.front());
-  context_.out.Log(LogLevel::kDebug,
-                   "event=size target={} count={} room={:.2f} waiting={} "
-                   "move={:.2f} busy={}",
-                   decision_.target, count, targets.requested_machines,
-                   demand.waiting, move, use.size());
+  context_.outbox.Log(LogLevel::kDebug,
+                      "event=size target={} count={} room={:.2f} waiting={} "
+                      "move={:.2f} busy={}",
+                      decision_.target, count, targets.requested_machines,
+                      demand.waiting, move, use.size());
   return move;
 }
 
@@ -149,7 +152,7 @@
     if (!pending.offer.spot) count += pending.count;
   }
   for (const auto& [name, instance] : inventory_.instances()) {
-    if (context_.state_cache.Draining(name)) continue;
+    if (context_.state_cache.IsDraining(name)) continue;
     if (!instance.offer.spot) ++count;
   }
   return count;
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -31,7 +31,7 @@
   // reconciles stored requests and adjusts the number of machines. Does nothing
   // while the state cache is stale, because a decision from stale data could
   // undo or repeat a change that is already stored.
-  void Step();
+  void RunDueWork();
 
  private:
   // Compares the number of machines with the target and makes at most one
--- a/src/core/autoscaler/instance_inventory.cc
+++ b/src/core/autoscaler/instance_inventory.cc
@@ -123,7 +123,7 @@
 
 bool InstanceInventory::IsBroken(const std::string& name,
                                  const Instance& instance) const {
-  if (state_cache_.Draining(name)) return false;
+  if (state_cache_.IsDraining(name)) return false;
   if (instance.status == MachineStatus::kFailed) return true;
   // The list lags behind and may show a machine as booting that already runs
   // tasks; such a machine has booted.
@@ -139,7 +139,7 @@
   return static_cast<int>(
       std::ranges::count_if(instances_, [this](const auto& entry) {
         const auto& [name, instance] = entry;
-        return !state_cache_.Draining(name) && !IsBroken(name, instance);
+        return !state_cache_.IsDraining(name) && !IsBroken(name, instance);
       }));
 }
 
--- a/src/core/autoscaler/scale_in.cc
+++ b/src/core/autoscaler/scale_in.cc
@@ -71,7 +71,7 @@
 
 bool ScaleIn::MayBeCordoned(const std::string& name, const Instance& instance,
                             bool empty) const {
-  if (state_cache_.Draining(name)) return false;
+  if (state_cache_.IsDraining(name)) return false;
   if (instance.status != MachineStatus::kRunning) return false;
   if (!empty) return true;
   const SteadyTime now = outbox_.now().steady;
@@ -123,7 +123,7 @@
 uint32_t ScaleIn::DrainingReplicas(const MachineUseTable& use) const {
   uint32_t replicas = 0;
   for (const auto& [name, machine] : use) {
-    if (state_cache_.Draining(name)) replicas += machine.replicas;
+    if (state_cache_.IsDraining(name)) replicas += machine.replicas;
   }
   return replicas;
 }
--- a/src/core/autoscaler/scale_out.cc
+++ b/src/core/autoscaler/scale_out.cc
@@ -82,7 +82,7 @@
 OfferCounts ScaleOut::CountByOffer() const {
   OfferCounts counts;
   for (const auto& [name, instance] : inventory_.instances()) {
-    if (!state_cache_.Draining(name)) ++counts[instance.offer];
+    if (!state_cache_.IsDraining(name)) ++counts[instance.offer];
   }
   for (const PendingInstances& pending : requests_.Pending()) {
     counts[pending.offer] += pending.count;
@@ -110,7 +110,7 @@
 std::set<Offer> ScaleOut::ExistingOrRequestedOffers() const {
   std::set<Offer> offers;
   for (const auto& [name, instance] : inventory_.instances()) {
-    if (state_cache_.Draining(name)) continue;
+    if (state_cache_.IsDraining(name)) continue;
     if (instance.status != MachineStatus::kFailed)
       offers.insert(instance.offer);
   }
@@ -141,7 +141,7 @@
     const auto& [name, instance] = entry;
     return instance.status != MachineStatus::kFailed &&
            CanRunMore(job, zones, instance.offer) &&
-           !state_cache_.Draining(name) &&
+           !state_cache_.IsDraining(name) &&
            FitsWithPreemption(job.spec(), name, instance, use);
   });
 }
--- a/src/core/autoscaler/sizing_history.cc
+++ b/src/core/autoscaler/sizing_history.cc
@@ -49,11 +49,12 @@
                                  uint32_t partition_count) {
   LoadStored();
   const Duration since_epoch = outbox_.now().wall.time_since_epoch();
-  const auto period = static_cast<uint64_t>(since_epoch / tuning_.period);
+  const auto period =
+      static_cast<uint64_t>(since_epoch / tuning_.sizing_period);
   if (period <= last_period_ || state_writer_.write_pending()) return;
   const PeriodLoad load = SumReports(period, partition_count);
-  const Duration into_period = since_epoch % tuning_.period;
-  const Duration report_wait = tuning_.period / kReportWaitDivisor;
+  const Duration into_period = since_epoch % tuning_.sizing_period;
+  const Duration report_wait = tuning_.sizing_period / kReportWaitDivisor;
   if (!load.complete && into_period < report_wait) return;
   last_period_ = period;
   AddPoint(load, decision.count);
@@ -131,7 +132,7 @@
   inputs.waiting = demand.waiting;
   inputs.delay_price = tuning_.delay_price;
   inputs.machine_cost =
-      type.price * ToSeconds(tuning_.period) / kSecondsPerHour;
+      type.price * ToSeconds(tuning_.sizing_period) / kSecondsPerHour;
   inputs.delay_bound = ToSeconds(tuning_.delay_bound);
   inputs.curve = sizing::FitDelay(delays, kDefaultDelayCurve);
 
--- a/src/core/autoscaler/sizing_history.h
+++ b/src/core/autoscaler/sizing_history.h
@@ -67,7 +67,7 @@
   LeaderStateWriter& state_writer_;
   std::vector<SizingRecord::Point> points_;  // one per period, the newest last
   // The number of the last recorded period, counted from the Unix epoch in
-  // units of Tuning::period. 0: none.
+  // units of Tuning::sizing_period. 0: none.
   uint64_t last_period_ = 0;
 };
 
--- a/src/core/base/resources.h
+++ b/src/core/base/resources.h
@@ -14,7 +14,7 @@
 // components.
 struct Resources {
   // The integer amount that stands for one processor, accelerator or gigabyte.
-  static constexpr double kUnit = 1e6;
+  static constexpr double kScale = 1e6;
 
   int64_t cpus = 0;    // millionths of a processor
   int64_t gpus = 0;    // millionths of an accelerator
@@ -22,7 +22,7 @@
 
   // Converts whole and decimal amounts, rounded to the nearest millionth.
   static int64_t FromDecimal(double amount) {
-    return std::llround(amount * kUnit);
+    return std::llround(amount * kScale);
   }
   static Resources FromDecimals(double cpus, double gpus, double memory_gb) {
     return {FromDecimal(cpus), FromDecimal(gpus), FromDecimal(memory_gb)};
@@ -54,7 +54,7 @@
   }
   // Returns how many tasks that each need these resources fit into `available`,
   // but at most `max_count`, and never less than 0.
-  int64_t CountIn(const Resources& available, int64_t max_count) const {
+  int64_t CountFittingIn(const Resources& available, int64_t max_count) const {
     auto limit = [&](int64_t need, int64_t have) {
       if (need > 0) max_count = std::min(max_count, have < 0 ? 0 : have / need);
     };
--- a/src/core/base/version.h
+++ b/src/core/base/version.h
@@ -13,10 +13,10 @@
 // The version of a controller whose node record names none.
 inline constexpr uint32_t kFirstVersion = 1;
 // Runs services (Shape::kService), and reads chunk records that assign more
-// than kMaxInChunkVersion1 tasks to machines.
-inline constexpr uint32_t kStandingJobsVersion = 2;
+// than kMaxBoundPerChunkVersion1 tasks to machines.
+inline constexpr uint32_t kServiceJobsVersion = 2;
 // The version of this program.
-inline constexpr uint32_t kThisVersion = kStandingJobsVersion;
+inline constexpr uint32_t kCurrentVersion = kServiceJobsVersion;
 
 }  // namespace pitchfall
 
--- a/src/core/controller.cc
+++ b/src/core/controller.cc
@@ -50,12 +50,12 @@
   uint32_t partition_count = PartitionCount(deployment_, tuning_);
   return {.deployment = deployment_,
           .tuning = tuning_,
-          .out = outbox_,
+          .outbox = outbox_,
           .state_cache = state_cache_,
           .state_watcher = state_watcher_,
-          .requests = rate_limits_.requests(),
-          .writes = rate_limits_.writes(),
-          .cloud = rate_limits_.cloud(),
+          .state_request_bucket = rate_limits_.requests(),
+          .state_write_bucket = rate_limits_.writes(),
+          .cloud_call_bucket = rate_limits_.cloud(),
           .incarnation = incarnation,
           .partition_count = partition_count,
           .capacity_table = CapacityTable(partition_count),
@@ -72,14 +72,14 @@
   }
   peers_.ForgetStoredCancellations();
   UpdateRateShares();
-  ownership_.Step();
+  ownership_.RunDueWork();
   UpdateOwnedPartitions();
   RunPartitions();
-  if (autoscaler_) autoscaler_->Step();
+  if (autoscaler_) autoscaler_->RunDueWork();
   job_requests_.RunDueWork();
   SendHeartbeatIfDue();
   HandOverUnreachablePartitions();
-  state_watcher_.Step();
+  state_watcher_.RunDueWork();
   std::vector<Effect> effects = outbox_.TakeEffects();
   if (!peers_.Healthy()) CloseRefusedConnections(effects);
   return effects;
@@ -165,7 +165,7 @@
     by_last_write.push_back(partition.get());
   }
   std::ranges::stable_sort(by_last_write, {}, &Partition::last_write);
-  for (Partition* partition : by_last_write) partition->Step();
+  for (Partition* partition : by_last_write) partition->RunDueWork();
 }
 
 void Controller::SendHeartbeatIfDue() {
--- a/src/core/jobs/job_admission.cc
+++ b/src/core/jobs/job_admission.cc
@@ -22,15 +22,15 @@
 }  // namespace
 
 AdmissionDecision JobAdmission::Check(const JobSpec& spec) const {
-  if (!state_watcher_.Fresh() || !state_cache_.types()) {
+  if (!state_watcher_.IsFresh() || !state_cache_.types()) {
     return RetryLater{kRetryAfterStateUnreadable};
   }
   std::optional<Rejection> rejection =
-      WhyImpossible(spec, deployment_, state_cache_.types()->value,
+      FindRejection(spec, deployment_, state_cache_.types()->value,
                     state_limits_.ValueBytes());
   if (rejection) return *std::move(rejection);
   if (spec.shape == Shape::kService &&
-      !state_cache_.AllNodesSupport(kStandingJobsVersion)) {
+      !state_cache_.AllNodesSupport(kServiceJobsVersion)) {
     return RetryLater{kUpgradeRetry};
   }
   return Admitted{};
@@ -86,7 +86,7 @@
   for (uint32_t n = 0; n < partition_count_; ++n) {
     uint32_t partition = (first + n) % partition_count_;
     int64_t capacity =
-        capacity_table_.Tasks(partition, spec, outbox_.now().steady);
+        capacity_table_.TaskCapacity(partition, spec, outbox_.now().steady);
     if (capacity >= spec.tasks) return partition;
   }
   return fallback;
--- a/src/core/jobs/job_queries.cc
+++ b/src/core/jobs/job_queries.cc
@@ -35,7 +35,7 @@
 void JobQueries::RunDueWork() {
   if (waiting_.empty()) return;
   // Clients must not be kept waiting while the state service does not answer.
-  if (!state_watcher_.Fresh()) {
+  if (!state_watcher_.IsFresh()) {
     RefuseAll();
     return;
   }
@@ -87,7 +87,7 @@
 void JobQueries::AnswerWith(RequestId request, const Job& job,
                             TaskCounts counts) {
   outbox_.Answer(request, http_status::kOk,
-                 Describe(job, counts == TaskCounts::kInclude));
+                 MakeJobAnswer(job, counts == TaskCounts::kInclude));
 }
 
 }  // namespace pitchfall
--- a/src/core/jobs/job_requests.cc
+++ b/src/core/jobs/job_requests.cc
@@ -9,19 +9,19 @@
 namespace pitchfall {
 
 JobRequests::JobRequests(Context& context)
-    : outbox_(context.out),
+    : outbox_(context.outbox),
       state_cache_(context.state_cache),
       state_watcher_(context.state_watcher),
-      queries_(context.out, context.state_cache, context.state_watcher),
-      admission_(context.deployment, context.tuning, context.out,
+      queries_(context.outbox, context.state_cache, context.state_watcher),
+      admission_(context.deployment, context.tuning, context.outbox,
                  context.state_cache, context.state_watcher,
                  context.state_limits, context.capacity_table,
                  context.partition_count),
-      changes_(
-          context.tuning, context.out,
-          StateAccess{context.state_cache, context.state_watcher,
-                      context.requests, context.writes, context.state_limits},
-          admission_, queries_) {}
+      changes_(context.tuning, context.outbox,
+               StateAccess{context.state_cache, context.state_watcher,
+                           context.state_request_bucket,
+                           context.state_write_bucket, context.state_limits},
+               admission_, queries_) {}
 
 void JobRequests::Submit(RequestId request, const JobSpec& spec) {
   if (state_cache_.FindJob(spec.id) != nullptr) {
@@ -51,7 +51,7 @@
     queries_.Answer(request, job_id, TaskCounts::kOmit);
     return;
   }
-  if (!state_watcher_.Fresh()) {
+  if (!state_watcher_.IsFresh()) {
     outbox_.Refuse(request, kRetryAfterStateUnreadable);
     return;
   }
--- a/src/core/membership/fencing_token_announcer.cc
+++ b/src/core/membership/fencing_token_announcer.cc
@@ -31,7 +31,7 @@
       has_seen_fencing_token_(std::move(has_seen_fencing_token)),
       next_page_(context.now() + kFirstPageDelay) {}
 
-void FencingTokenAnnouncer::Step() {
+void FencingTokenAnnouncer::RunDueWork() {
   CallWaitingWorkers();
   FetchNextPage();
 }
@@ -41,10 +41,12 @@
 void FencingTokenAnnouncer::FetchNextPage() {
   SteadyTime now = context_.now();
   if (fetching_ || pages_asked_for_ >= kMaxPages || now < next_page_) return;
-  if (!context_.state_watcher.Fresh() || !context_.cloud.Take(now, 1)) return;
+  if (!context_.state_watcher.IsFresh() ||
+      !context_.cloud_call_bucket.Take(now, 1))
+    return;
   ++pages_asked_for_;
   fetching_ = true;
-  context_.out.CallCloud(
+  context_.outbox.CallCloud(
       ListMachines{last_listed_}, context_.tuning.cloud_timeout,
       [this, alive = std::weak_ptr<int>(alive_)](const CloudReply& reply) {
         if (!alive.expired()) OnPage(reply);
@@ -78,7 +80,7 @@
 
 void FencingTokenAnnouncer::Inspect(const ListedMachine& listed) {
   ++inspecting_;
-  context_.out.CallWorker(
+  context_.outbox.CallWorker(
       listed.address, InspectWorker{}, kWorkerCallTimeout,
       [this, listed,
        alive = std::weak_ptr<int>(alive_)](const WorkerReply& reply) {
@@ -93,12 +95,12 @@
 
 void FencingTokenAnnouncer::SendFencingToken(const ListedMachine& listed,
                                              uint64_t agent_epoch) {
-  context_.out.Log(LogLevel::kInfo,
-                   "event=show_token partition={} machine={} token={}",
-                   partition_, listed.name, fencing_token_);
-  context_.out.CallWorker(listed.address,
-                          CommandWorker{fencing_token_, agent_epoch, {}},
-                          kWorkerCallTimeout, [](const WorkerReply&) {});
+  context_.outbox.Log(LogLevel::kInfo,
+                      "event=show_token partition={} machine={} token={}",
+                      partition_, listed.name, fencing_token_);
+  context_.outbox.CallWorker(listed.address,
+                             CommandWorker{fencing_token_, agent_epoch, {}},
+                             kWorkerCallTimeout, [](const WorkerReply&) {});
 }
 
 }  // namespace pitchfall
--- a/src/core/membership/fencing_token_announcer.h
+++ b/src/core/membership/fencing_token_announcer.h
@@ -36,7 +36,7 @@
 
   // Requests the next page of machines if it is due, and inspects the next
   // workers, as far as the limits on calls allow.
-  void Step();
+  void RunDueWork();
 
  private:
   void FetchNextPage();
--- a/src/core/membership/misrouted_workers.cc
+++ b/src/core/membership/misrouted_workers.cc
@@ -25,20 +25,21 @@
                                        const WorkerHeartbeat& heartbeat,
                                        uint32_t partition) {
   const Worker& worker = Record(heartbeat, partition);
-  std::string owner = context_.state_watcher.Fresh()
+  std::string owner = context_.state_watcher.IsFresh()
                           ? ownership_.OwnerOf(partition)
                           : std::string();
   if (worker.lost_owner && Count(partition) >= kManyWorkers) {
     // Sending so many workers back would cost each of them another wait and its
     // lease. Redirected to any controller, they find the one that the partition
     // is handed over to.
-    context_.out.Answer(request, http_status::kMisdirectedRequest, Redirect{});
+    context_.outbox.Answer(request, http_status::kMisdirectedRequest,
+                           Redirect{});
   } else if (owner.empty()) {
-    context_.out.Answer(request, http_status::kServiceUnavailable,
-                        Problem{"no owner known"});
+    context_.outbox.Answer(request, http_status::kServiceUnavailable,
+                           Problem{"no owner known"});
   } else {
-    context_.out.Answer(request, http_status::kMisdirectedRequest,
-                        Redirect{owner});
+    context_.outbox.Answer(request, http_status::kMisdirectedRequest,
+                           Redirect{owner});
   }
 }
 
--- a/src/core/membership/node_registration.cc
+++ b/src/core/membership/node_registration.cc
@@ -24,7 +24,7 @@
   if (lease_call_in_flight_ || now < next_lease_call_) return;
   // Taken on credit: if a renewal waited for the budget, the controller's own
   // other calls could make it lose its lease, and with it its partitions.
-  context_.requests.TakeOnCredit(now, 1);
+  context_.state_request_bucket.TakeOnCredit(now, 1);
   lease_call_in_flight_ = true;
   if (lease_) {
     RenewLease(*lease_);
@@ -35,7 +35,7 @@
 
 void NodeRegistration::GrantLease() {
   Duration ttl = context_.tuning.node_lease;
-  context_.out.CallState(
+  context_.outbox.CallState(
       Grant{ttl}, context_.tuning.state_timeout,
       [this, ttl](const StateReply& reply) {
         lease_call_in_flight_ = false;
@@ -48,7 +48,7 @@
 
 void NodeRegistration::RenewLease(uint64_t lease) {
   Duration interval = context_.tuning.node_lease / kRenewalsPerTtl;
-  context_.out.CallState(
+  context_.outbox.CallState(
       Renew{lease}, interval, [this, interval](const StateReply& reply) {
         lease_call_in_flight_ = false;
         if (reply.status == http_status::kNotFound) lease_.reset();
@@ -71,22 +71,23 @@
 
 void NodeRegistration::WriteNodeKey(uint64_t lease) {
   SteadyTime now = context_.now();
-  context_.writes.TakeOnCredit(now, 1);
-  context_.requests.TakeOnCredit(now, 1);
+  context_.state_write_bucket.TakeOnCredit(now, 1);
+  context_.state_request_bucket.TakeOnCredit(now, 1);
   write_in_flight_ = true;
   const std::string& label = context_.deployment.label;
   std::string key = keys::Node(label, context_.incarnation);
   Transaction txn;
   txn.conditions.push_back({key, 0});
   txn.writes.push_back(
-      {key, NodeRecord{label, context_.incarnation, kThisVersion}, lease});
-  context_.out.CallState(std::move(txn), context_.tuning.state_timeout,
-                         [this](const StateReply& reply) {
-                           write_in_flight_ = false;
-                           next_write_ = context_.now() + kRegisterRetryDelay;
-                           if (reply.no_lease) lease_.reset();
-                           context_.state_watcher.RequestRead();
-                         });
+      {key, NodeRecord{label, context_.incarnation, kCurrentVersion}, lease});
+  context_.outbox.CallState(std::move(txn), context_.tuning.state_timeout,
+                            [this](const StateReply& reply) {
+                              write_in_flight_ = false;
+                              next_write_ =
+                                  context_.now() + kRegisterRetryDelay;
+                              if (reply.no_lease) lease_.reset();
+                              context_.state_watcher.RequestRead();
+                            });
 }
 
 }  // namespace pitchfall
--- a/src/core/membership/ownership.cc
+++ b/src/core/membership/ownership.cc
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-void Ownership::Step() {
+void Ownership::RunDueWork() {
   registration_.KeepLease();
-  if (!context_.state_watcher.Fresh()) return;
+  if (!context_.state_watcher.IsFresh()) return;
   registration_.Register();
   TrackNodes();
   for (uint32_t partition = 0; partition < context_.partition_count;
@@ -99,7 +99,7 @@
   // An earlier incarnation of this controller is certainly dead: only one
   // process at a time can bind the controller's addresses.
   if (current->value.label == context_.deployment.label) return true;
-  return !context_.state_cache.NodeAlive(current->value);
+  return !context_.state_cache.IsOwnerAlive(current->value);
 }
 
 Duration Ownership::TakeOverDelay(uint32_t partition,
@@ -169,8 +169,8 @@
   // Taken on credit: until this is stored the partition's workers have no
   // owner.
   SteadyTime now = context_.now();
-  context_.writes.TakeOnCredit(now, 1);
-  context_.requests.TakeOnCredit(now, 1);
+  context_.state_write_bucket.TakeOnCredit(now, 1);
+  context_.state_request_bucket.TakeOnCredit(now, 1);
   const std::string& own_label = context_.deployment.label;
   Transaction txn;
   txn.conditions.push_back({keys::Partition(partition),
@@ -183,9 +183,9 @@
   }
   txn.writes.push_back({keys::Partition(partition),
                         PartitionRecord{own_label, context_.incarnation}});
-  context_.out.Log(LogLevel::kInfo, "event=takeover_asked partition={} from={}",
-                   partition,
-                   current == nullptr ? "nobody" : current->value.label);
+  context_.outbox.Log(LogLevel::kInfo,
+                      "event=takeover_asked partition={} from={}", partition,
+                      current == nullptr ? "nobody" : current->value.label);
   StoreOwner(partition, std::move(txn));
 }
 
@@ -197,7 +197,9 @@
   if (!IsOwn(current) || node == nullptr) return;
   if (partitions_[partition].change_in_flight) return;
   SteadyTime now = context_.now();
-  if (!context_.writes.Take(now, 1) || !context_.requests.Take(now, 1)) return;
+  if (!context_.state_write_bucket.Take(now, 1) ||
+      !context_.state_request_bucket.Take(now, 1))
+    return;
   bool unreachable = reason == HandoverReason::kUnreachable;
   PartitionRecord record{label, node->value.incarnation,
                          unreachable ? context_.deployment.label : ""};
@@ -207,15 +209,15 @@
   txn.conditions.push_back(
       {keys::Node(label, node->value.incarnation), node->mod_revision});
   txn.writes.push_back({keys::Partition(partition), std::move(record)});
-  context_.out.Log(LogLevel::kInfo,
-                   "event=handover partition={} to={} reason={}", partition,
-                   label, ToString(reason));
+  context_.outbox.Log(LogLevel::kInfo,
+                      "event=handover partition={} to={} reason={}", partition,
+                      label, ToString(reason));
   StoreOwner(partition, std::move(txn));
 }
 
 void Ownership::StoreOwner(uint32_t partition, Transaction txn) {
   partitions_[partition].change_in_flight = true;
-  context_.out.CallState(
+  context_.outbox.CallState(
       std::move(txn), context_.tuning.state_timeout,
       [this, partition](const StateReply&) {
         // A missing or failed answer does not tell whether the change was
@@ -236,7 +238,8 @@
 std::string Ownership::OwnerOf(uint32_t partition) const {
   const StoredPartition* current =
       context_.state_cache.FindPartition(partition);
-  if (current == nullptr || !context_.state_cache.NodeAlive(current->value)) {
+  if (current == nullptr ||
+      !context_.state_cache.IsOwnerAlive(current->value)) {
     return "";
   }
   return current->value.label;
--- a/src/core/membership/ownership.h
+++ b/src/core/membership/ownership.h
@@ -33,7 +33,7 @@
   // Keeps this controller registered. While the state cache is fresh, also
   // takes over vacant partitions and hands over those that another controller
   // should own.
-  void Step();
+  void RunDueWork();
 
   // Returns the partition's fencing token if this process owns it.
   std::optional<uint64_t> FencingTokenOf(uint32_t partition) const;
--- a/src/core/membership/peers.cc
+++ b/src/core/membership/peers.cc
@@ -28,8 +28,9 @@
   // A network partition can delay messages for minutes. If such messages were
   // accepted, a peer that has ended would look live and seem to have free
   // capacity.
-  Duration age = context_.out.now().wall - heartbeat.sent;
-  if (age > kPeerTimeout + 2 * context_.deployment.time_bound) return false;
+  Duration age = context_.outbox.now().wall - heartbeat.sent;
+  if (age > kPeerTimeout + 2 * context_.deployment.max_clock_error)
+    return false;
   SteadyTime now = context_.now();
   peers_[heartbeat.label] = {heartbeat, now};
   for (const auto& [partition, free] : heartbeat.free) {
@@ -69,7 +70,7 @@
   for (const LocalStatus::OwnedPartition& partition : status.partitions) {
     context_.capacity_table.Update(partition.number, partition.free, now);
   }
-  context_.out.Send(BuildHeartbeat(status));
+  context_.outbox.Send(BuildHeartbeat(status));
 }
 
 PeerHeartbeat Peers::BuildHeartbeat(const LocalStatus& status) const {
@@ -77,7 +78,7 @@
   PeerHeartbeat heartbeat;
   heartbeat.label = context_.deployment.label;
   heartbeat.incarnation = context_.incarnation;
-  heartbeat.sent = context_.out.now().wall;
+  heartbeat.sent = context_.outbox.now().wall;
   heartbeat.state_age = context_.state_watcher.loaded()
                             ? context_.state_watcher.Age()
                             : kStateNeverRead;
--- a/src/core/model/capacity_records.h
+++ b/src/core/model/capacity_records.h
@@ -26,7 +26,7 @@
 };
 
 // The load of a partition, which its owner reports once per sizing period
-// (Tuning::period).
+// (Tuning::sizing_period).
 struct LoadRecord {
   uint64_t period = 0;   // the wall-clock time divided by the period's length
   Resources requested;   // by running tasks and admissible waiting tasks
--- a/src/core/model/free_capacity.h
+++ b/src/core/model/free_capacity.h
@@ -70,7 +70,8 @@
   // Returns how many of the job's tasks fit into the partition's free
   // processors; 0 if the partition's number is out of range or its last
   // announcement is too old.
-  int64_t Tasks(uint32_t partition, const JobSpec& spec, SteadyTime now) const {
+  int64_t TaskCapacity(uint32_t partition, const JobSpec& spec,
+                       SteadyTime now) const {
     if (partition >= partitions_.size() ||
         now - partitions_[partition].announced > kMaxAge)
       return 0;
@@ -97,7 +98,8 @@
       SteadyTime now) const {
     std::pair<uint32_t, int64_t> best{fallback, 0};
     for (uint32_t partition = 0; partition < partitions_.size(); ++partition) {
-      int64_t tasks = partition == excluded ? 0 : Tasks(partition, spec, now);
+      int64_t tasks =
+          partition == excluded ? 0 : TaskCapacity(partition, spec, now);
       if (tasks > best.second) best = {partition, tasks};
     }
     return best;
@@ -112,7 +114,7 @@
     auto count = static_cast<uint32_t>(partitions_.size());
     for (uint32_t n = 1; n < count; ++n) {
       uint32_t next = (partition + n) % count;
-      if (int64_t tasks = Tasks(next, spec, now)) return {next, tasks};
+      if (int64_t tasks = TaskCapacity(next, spec, now)) return {next, tasks};
     }
     return {partition, 0};
   }
--- a/src/core/model/job.cc
+++ b/src/core/model/job.cc
@@ -115,7 +115,7 @@
   return record;
 }
 
-JobAnswer Describe(const Job& job, bool counts) {
+JobAnswer MakeJobAnswer(const Job& job, bool counts) {
   JobAnswer answer;
   answer.id = job.spec().id;
   answer.counts = counts;
@@ -137,7 +137,7 @@
   return answer;
 }
 
-std::optional<Rejection> WhyImpossible(const JobSpec& spec,
+std::optional<Rejection> FindRejection(const JobSpec& spec,
                                        const Deployment& deployment,
                                        const TypesRecord& types,
                                        size_t value_bytes) {
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -64,9 +64,9 @@
     return {(record.home + turn) % partition_count, 0};
   }
   // Whether the zone of one task restricts the zones of the others.
-  bool constrained() const { return spec().one_zone || spec().spread; }
+  bool has_zone_constraint() const { return spec().one_zone || spec().spread; }
   // Whether the job's chunks belong to more than one partition.
-  bool shared(uint32_t partition_count) const {
+  bool spans_partitions(uint32_t partition_count) const {
     for (uint32_t chunk = 1; chunk < record.chunk_count(); ++chunk) {
       if (owner_of(chunk, partition_count).partition !=
           owner_of(0, partition_count).partition)
@@ -92,7 +92,7 @@
 
 // Returns the state of a job as its user sees it. `counts` says whether the
 // answer shows the numbers of tasks that are done and running.
-JobAnswer Describe(const Job& job, bool counts);
+JobAnswer MakeJobAnswer(const Job& job, bool counts);
 
 // Returns an upper bound for the size of the record as JSON, in bytes.
 size_t RecordBytes(const JobRecord& record);
@@ -125,7 +125,7 @@
 // and `value_bytes`, the size of the largest value that the state service
 // accepts. Returns the first reason why the job can never run, or nothing if it
 // can. Capacity that is in use at the moment is not taken into account.
-std::optional<Rejection> WhyImpossible(const JobSpec& spec,
+std::optional<Rejection> FindRejection(const JobSpec& spec,
                                        const Deployment& deployment,
                                        const TypesRecord& types,
                                        size_t value_bytes);
--- a/src/core/model/limits.h
+++ b/src/core/model/limits.h
@@ -13,9 +13,9 @@
 // The largest number of tasks of one chunk that may be bound to machines at the
 // same time. The size of a stored value limits the number further (see
 // SegmentFiller). Controllers before version 2 cannot read chunk records that
-// bind more than kMaxInChunkVersion1 tasks.
-inline constexpr uint32_t kMaxInChunkVersion1 = 96;
-inline constexpr uint32_t kMaxInChunk = 2048;
+// bind more than kMaxBoundPerChunkVersion1 tasks.
+inline constexpr uint32_t kMaxBoundPerChunkVersion1 = 96;
+inline constexpr uint32_t kMaxBoundPerChunk = 2048;
 
 // The size in bytes up to which transactions are built. The state service
 // accepts transactions of 64 KiB, counted as JSON. A tenth of that is kept in
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -34,7 +34,7 @@
   // When a heartbeat first showed the attempt as running.
   std::optional<SteadyTime> running_since;
   // Whether this is a replica that has run long enough to count as healthy.
-  bool proven = false;
+  bool is_proven_replica = false;
 
   // The heartbeat whose answer last contained the start command; empty if none
   // was sent.
@@ -55,7 +55,7 @@
   // Whether a write that removes the assignment is in progress or its outcome
   // is unknown. The task may be started on another machine at any moment, so
   // the attempt must not be started here any more.
-  bool ending = false;
+  bool end_pending = false;
 };
 
 // Evidence from a worker's heartbeats on whether it receives the answers that
@@ -105,9 +105,9 @@
 
   // Heartbeats and answers.
   std::optional<WorkerHeartbeat> heartbeat;  // the newest; empty: none yet
-  SteadyTime heard{};             // when the newest heartbeat arrived
-  RequestId pending_request = 0;  // of the unanswered heartbeat; 0: none
-  SteadyTime pending_since{};     // when the unanswered heartbeat arrived
+  SteadyTime last_heartbeat_time{};  // when the newest heartbeat arrived
+  RequestId pending_request = 0;     // of the unanswered heartbeat; 0: none
+  SteadyTime pending_since{};        // when the unanswered heartbeat arrived
   // Whether the worker has shown this owner's fencing token. Until it has, its
   // lease cannot be assumed to expire when this owner does not answer, because
   // an earlier owner may still answer the worker.
@@ -157,7 +157,7 @@
     return capacity - used - unbound_use - planned.resources;
   }
   // Whether tasks may be started on the machine.
-  bool TakesTasks(SteadyTime now) const {
+  bool AcceptsTasks(SteadyTime now) const {
     bool heard_well = heartbeat && fencing_token_seen &&
                       !awaits_second_heartbeat && !inbound.suspect_since;
     bool stays =
--- a/src/core/model/messages.h
+++ b/src/core/model/messages.h
@@ -157,10 +157,10 @@
   int status = 0;
   uint64_t revision = 0;  // of a successful transaction, or of what was read
   uint64_t lease = 0;     // of a grant
-  std::vector<std::string> failed;  // keys whose conditions are not met
-  std::vector<Change> changes;      // of a WatchRead or a ListRead
-  bool more = false;                // of a ListRead: there is another page
-  bool no_lease = false;            // status 400 with "no such lease"
+  std::vector<std::string> failed_keys;  // keys whose conditions are not met
+  std::vector<Change> changes;           // of a WatchRead or a ListRead
+  bool more = false;                     // of a ListRead: there is another page
+  bool no_lease = false;                 // status 400 with "no such lease"
 };
 
 // ---- Cloud ----
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -37,19 +37,19 @@
 
 // The deployment file, which the platform provides.
 struct Deployment {
-  std::string label;      // of this controller
-  std::string zone;       // of this controller
-  std::string front;      // HOST:PORT to listen on for users and workers
-  std::string peer_bind;  // HOST:PORT to receive the peers' heartbeats on
+  std::string label;           // of this controller
+  std::string zone;            // of this controller
+  std::string listen_address;  // HOST:PORT to listen on for users and workers
+  std::string peer_bind;       // HOST:PORT to receive the peers' heartbeats on
   struct Peer {
     std::string label;
     std::string address;  // HOST:PORT that its heartbeats are sent to
   };
   std::vector<Peer> peers;    // the other controllers
-  std::string cloud;          // HOST:PORT of the cloud's API
+  std::string cloud_address;  // HOST:PORT of the cloud's API
   std::string state_address;  // HOST:PORT of the state service
   std::vector<std::string> zones;
-  Duration time_bound{0};             // bound on the error of any wall clock
+  Duration max_clock_error{0};        // bound on the error of any wall clock
   std::map<std::string, Team> teams;  // by name
   std::vector<Objective> objectives;
   Duration heartbeat_interval{Millis(2000)};  // between a worker's heartbeats
@@ -57,7 +57,7 @@
   Duration worker_lease{Millis(10000)};
   // The time limit within which the tasks of a cancelled job must have stopped.
   // It is longer than `worker_lease`.
-  Duration cancel{Millis(30000)};
+  Duration cancel_time_limit{Millis(30000)};
   // The limits of the state service: requests and writes per second, KiB per
   // value, and operations per transaction.
   struct StateServiceLimits {
@@ -113,10 +113,10 @@
   // that another controller owns.
   Duration handover_after{Millis(10000)};
   // Sizing of the cluster (see core/autoscaler/sizing).
-  Duration period{Millis(10000)};  // between sizing decisions
-  uint32_t horizon = 3;            // forecast periods per decision
-  double tracking_r = 0.1;         // R, the weight of a move, with Q = 1
-  double delay_price = 0.001;      // p, money per second that one task is late
+  Duration sizing_period{Millis(10000)};  // between sizing decisions
+  uint32_t horizon = 3;                   // forecast periods per decision
+  double move_weight = 0.1;               // R, the weight of a move, with Q = 1
+  double delay_price = 0.001;  // p, money per second that one task is late
   Duration delay_bound{Millis(10000)};  // upper limit of the mean waiting time
 };
 
--- a/src/core/partition/answer_entitlement.cc
+++ b/src/core/partition/answer_entitlement.cc
@@ -3,16 +3,16 @@
 namespace pitchfall {
 namespace {
 
-// The part of `Deployment::cancel` that is left for the last answer to reach
-// the worker and for the worker to stop the task.
+// The part of `Deployment::cancel_time_limit` that is left for the last answer
+// to reach the worker and for the worker to stop the task.
 constexpr Duration kCancelMargin = Millis(2000);
 
 }  // namespace
 
 bool AnswerEntitlement::MayAnswer() const {
   const Deployment& deployment = context_.deployment;
-  Duration limit =
-      deployment.cancel - WithDrift(deployment.worker_lease) - kCancelMargin;
+  Duration limit = deployment.cancel_time_limit -
+                   WithDrift(deployment.worker_lease) - kCancelMargin;
   SteadyTime known_until =
       context_.cancellation_watermark.CancellationsKnownUntil(
           context_.state_watcher.current_as_of(), context_.now());
@@ -23,9 +23,9 @@
                                     uint64_t fencing_token) {
   if (fencing_token <= term_.fencing_token) return;
   if (!deposed_) {
-    context_.out.Log(LogLevel::kInfo,
-                     "event=deposed partition={} by={} token={}",
-                     term_.partition, label, fencing_token);
+    context_.outbox.Log(LogLevel::kInfo,
+                        "event=deposed partition={} by={} token={}",
+                        term_.partition, label, fencing_token);
   }
   deposed_ = true;
   successor_ = label;
--- a/src/core/partition/answer_entitlement.h
+++ b/src/core/partition/answer_entitlement.h
@@ -24,8 +24,8 @@
   // cannot read the state service, others may store cancellations that it does
   // not know. A worker that is answered now keeps its tasks for one more lease,
   // and that lease must end within the time in which a cancelled task has to
-  // stop (`Deployment::cancel`), counted from the time up to which all
-  // cancellations are known. False as soon as a later owner is known.
+  // stop (`Deployment::cancel_time_limit`), counted from the time up to which
+  // all cancellations are known. False as soon as a later owner is known.
   bool MayAnswer() const;
 
   // Handles a claim of the controller `label` to own the partition with this
--- a/src/core/partition/attempt_bindings.cc
+++ b/src/core/partition/attempt_bindings.cc
@@ -24,7 +24,7 @@
       reschedule_(reschedule) {
   for (const auto& [id, job] : state_cache_.open_jobs()) {
     for (const auto& [chunk, entry] : job->chunks) {
-      OnChunk(*job, chunk, nullptr, &entry);
+      OnChunkChanged(*job, chunk, nullptr, &entry);
     }
   }
   loading_ = false;
@@ -33,9 +33,9 @@
 
 AttemptBindings::~AttemptBindings() { state_cache_.RemoveListener(this); }
 
-void AttemptBindings::OnChunk(const Job& job, uint32_t /*chunk*/,
-                              const Job::Chunk* before,
-                              const Job::Chunk* after) {
+void AttemptBindings::OnChunkChanged(const Job& job, uint32_t /*chunk*/,
+                                     const Job::Chunk* before,
+                                     const Job::Chunk* after) {
   reschedule_.Raise();
   static const std::vector<Assignment> kNone;
   auto assigned_here =
--- a/src/core/partition/attempt_bindings.h
+++ b/src/core/partition/attempt_bindings.h
@@ -30,8 +30,8 @@
   // Unbinds assignments that are gone from the chunk's record, or whose chunk
   // has left this partition, and binds new ones. Requests a scheduling pass
   // whatever has changed.
-  void OnChunk(const Job& job, uint32_t chunk, const Job::Chunk* before,
-               const Job::Chunk* after) override;
+  void OnChunkChanged(const Job& job, uint32_t chunk, const Job::Chunk* before,
+                      const Job::Chunk* after) override;
 
  private:
   void Bind(const Job& job, const Assignment& assignment);
--- a/src/core/partition/attempt_reconciler.cc
+++ b/src/core/partition/attempt_reconciler.cc
@@ -12,14 +12,14 @@
   EndsByChunk ends;
   for (auto& [name, machine] : machines_.machines()) {
     if (!machine.heartbeat && !machine.gone) continue;
-    bool takes_tasks = machine.TakesTasks(now);
+    bool takes_tasks = machine.AcceptsTasks(now);
     for (auto& [key, attempt] : machine.bound) {
-      bool wanted = IsWanted(context_, attempt) && !attempt.StopRequested() &&
-                    takes_tasks;
+      bool wanted = IsJobActive(context_, attempt) &&
+                    !attempt.StopRequested() && takes_tasks;
       // An end that an earlier transaction contained has not been stored:
       // otherwise the state cache would show it and the attempt would not be
       // bound any more.
-      attempt.ending = false;
+      attempt.end_pending = false;
       AttemptOutcome outcome =
           ClassifyAttempt(machine, key, attempt, term_.fencing_token, wanted);
       if (outcome == AttemptOutcome::kBound) continue;
@@ -49,7 +49,7 @@
   return record;
 }
 
-void AttemptReconciler::AddEnds(PendingTransaction& pending) {
+void AttemptReconciler::AddEndedAttempts(PendingTransaction& pending) {
   for (const auto& [key, ends] : FindEnds()) {
     const Job& job = *ends.front().attempt->job;
     const JobSpec& spec = job.spec();
@@ -60,7 +60,7 @@
     if (!sizes_.FitsSegment(key.first, key.second, record)) continue;
     pending.chunks[key] = {&job, std::move(record)};
     for (const AttemptEnd& end : ends) {
-      end.attempt->ending = true;
+      end.attempt->end_pending = true;
       AddReport(pending, end);
       end.machine->planned.resources -= spec.resources;
       quota_.AddPlanned(spec.team, Resources{} - spec.resources);
@@ -79,10 +79,11 @@
   // A replica that ends by itself has failed, whatever exit cause the worker
   // reports, unless it has run long enough before to show that neither the job
   // nor the machine is at fault.
-  if (replica && (completed || failed) && end.attempt->proven) {
+  if (replica && (completed || failed) && end.attempt->is_proven_replica) {
     pending.reports.push_back({Kind::kProvenReplicaEnded, machine, spec.id});
-    context_.out.Log(LogLevel::kInfo, "event=replica_ended job={} machine={}",
-                     spec.id, machine);
+    context_.outbox.Log(LogLevel::kInfo,
+                        "event=replica_ended job={} machine={}", spec.id,
+                        machine);
   } else if (failed || (completed && replica)) {
     pending.reports.push_back({Kind::kFailure, machine, spec.id});
   } else if (completed) {
--- a/src/core/partition/attempt_reconciler.h
+++ b/src/core/partition/attempt_reconciler.h
@@ -20,7 +20,7 @@
 
 // An attempt counts as ended only if that is proven (see ClassifyAttempt).
 // Until its end is stored it occupies capacity of its machine and quota of its
-// team. The only class that writes `BoundAttempt::ending`.
+// team. The only class that writes `BoundAttempt::end_pending`.
 class AttemptReconciler {
  public:
   AttemptReconciler(Context& context, const OwnershipTerm& term,
@@ -34,9 +34,9 @@
   // Adds the ends of as many attempts as fit into the transaction, and deducts
   // their resources from the planned use of machine and team, so that the same
   // transaction can assign them to other tasks.
-  void AddEnds(PendingTransaction& pending);
+  void AddEndedAttempts(PendingTransaction& pending);
   // Adds the completion of jobs of which all tasks are done once `pending` is
-  // stored. To be called after AddEnds. Services never complete.
+  // stored. To be called after AddEndedAttempts. Services never complete.
   void AddFinishedJobs(PendingTransaction& pending) const;
 
  private:
@@ -52,7 +52,7 @@
 
   // Classifies every bound attempt of machines that have sent a heartbeat to
   // this owner or are gone, and returns those that have ended. Resets
-  // `BoundAttempt::ending` of all of them.
+  // `BoundAttempt::end_pending` of all of them.
   EndsByChunk FindEnds();
   // Returns the chunk's record without these attempts and with the tasks that
   // completed marked as done. `ends` holds at least one.
--- a/src/core/partition/committer.cc
+++ b/src/core/partition/committer.cc
@@ -32,24 +32,24 @@
   auto puts = static_cast<double>(transaction.writes.size());
   // The transaction is sent whatever the number of tokens; the budget stays in
   // debt until enough tokens have been added.
-  context_.writes.TakeOnCredit(now, puts);
-  context_.requests.TakeOnCredit(now, 1);
+  context_.state_write_bucket.TakeOnCredit(now, puts);
+  context_.state_request_bucket.TakeOnCredit(now, 1);
   busy_ = true;
   last_write_ = now;
-  context_.out.Log(
+  context_.outbox.Log(
       LogLevel::kDebug,
       "event=store partition={} chunks={} starts={} teams={} done={} "
       "transfers={} puts={} tokens={:.1f}",
-      term_.partition, pending.chunks.size(), pending.starts,
+      term_.partition, pending.chunks.size(), pending.start_count,
       pending.teams.size(), pending.done_jobs.size(), pending.transfers.size(),
-      transaction.writes.size(), context_.writes.Available(now));
+      transaction.writes.size(), context_.state_write_bucket.Available(now));
   auto handler = lifetime_.Wrap(
       [this, pending = std::move(pending), transaction,
        on_committed = std::move(on_committed)](const StateReply& reply) {
         on_committed(OnReply(transaction, reply), pending);
       });
-  context_.out.CallState(std::move(transaction), context_.tuning.state_timeout,
-                         std::move(handler));
+  context_.outbox.CallState(std::move(transaction),
+                            context_.tuning.state_timeout, std::move(handler));
 }
 
 CommitOutcome Committer::OnReply(const Transaction& transaction,
@@ -66,20 +66,20 @@
       break;
     case CommitOutcome::kRefused:
       if (reply.status == http_status::kTooManyRequests)
-        context_.writes.Drain(context_.now());
+        context_.state_write_bucket.Drain(context_.now());
       break;
     case CommitOutcome::kUnknown:
       outcome_unknown_ = true;
-      context_.out.Log(LogLevel::kWarning,
-                       "event=write_unknown partition={} status={} writes={}",
-                       term_.partition, reply.status,
-                       transaction.writes.size());
+      context_.outbox.Log(
+          LogLevel::kWarning,
+          "event=write_unknown partition={} status={} writes={}",
+          term_.partition, reply.status, transaction.writes.size());
       ReadBeforeNextWrite();
       break;
     case CommitOutcome::kConflict:
       // The write fence has another revision than this process knows: an
       // advance whose reply was lost has been carried out.
-      for (const std::string& key : reply.failed) {
+      for (const std::string& key : reply.failed_keys) {
         if (key == keys::WriteFence(term_.partition, term_.fencing_token)) {
           outcome_unknown_ = true;
         }
@@ -100,12 +100,12 @@
 
 void Committer::LogTooLarge(const Transaction& transaction) const {
   for (const Write& write : transaction.writes) {
-    context_.out.Log(LogLevel::kError,
-                     "event=write_refused partition={} key={} writes={} "
-                     "conditions={} value_bytes={}",
-                     term_.partition, write.key, transaction.writes.size(),
-                     transaction.conditions.size(),
-                     context_.state_limits.ValueBytes());
+    context_.outbox.Log(LogLevel::kError,
+                        "event=write_refused partition={} key={} writes={} "
+                        "conditions={} value_bytes={}",
+                        term_.partition, write.key, transaction.writes.size(),
+                        transaction.conditions.size(),
+                        context_.state_limits.ValueBytes());
   }
 }
 
@@ -123,8 +123,8 @@
 // (AnswerBound.AfterAWriteWithoutAnAnswerTheFenceIsRaisedFirst).
 void Committer::AdvanceWriteFence(FenceCallback on_reply) {
   SteadyTime now = context_.now();
-  if (!context_.writes.Take(now, 1)) return;
-  context_.requests.TakeOnCredit(now, 1);
+  if (!context_.state_write_bucket.Take(now, 1)) return;
+  context_.state_request_bucket.TakeOnCredit(now, 1);
   busy_ = true;
   last_write_ = now;
   Transaction transaction;
@@ -138,8 +138,8 @@
         on_reply(reply.status == http_status::kOk);
         OnFenceAdvanced(reply);
       });
-  context_.out.CallState(std::move(transaction), context_.tuning.state_timeout,
-                         std::move(handler));
+  context_.outbox.CallState(std::move(transaction),
+                            context_.tuning.state_timeout, std::move(handler));
 }
 
 void Committer::OnFenceAdvanced(const StateReply& reply) {
--- a/src/core/partition/fault_attribution.cc
+++ b/src/core/partition/fault_attribution.cc
@@ -40,9 +40,10 @@
                                          BoundAttempt& attempt) {
   const JobSpec& spec = attempt.job->spec();
   bool runs = spec.shape == Shape::kService && attempt.running_since;
-  if (!runs || attempt.proven) return;
-  if (machine.heard - *attempt.running_since < kMinProvenRunTime) return;
-  attempt.proven = true;
+  if (!runs || attempt.is_proven_replica) return;
+  if (machine.last_heartbeat_time - *attempt.running_since < kMinProvenRunTime)
+    return;
+  attempt.is_proven_replica = true;
   proven_services_.insert(spec.id);
   RecordSuccess(machine.name, spec.id);
 }
--- a/src/core/partition/heartbeat_handler.cc
+++ b/src/core/partition/heartbeat_handler.cc
@@ -33,18 +33,18 @@
     context_.state_watcher.RequestRead();
   }
   if (!entitlement_.successor().empty()) {
-    context_.out.Answer(request, http_status::kMisdirectedRequest,
-                        Redirect{entitlement_.successor()});
+    context_.outbox.Answer(request, http_status::kMisdirectedRequest,
+                           Redirect{entitlement_.successor()});
     return false;
   }
   if (!entitlement_.MayAnswer()) {
-    context_.out.Answer(request, http_status::kServiceUnavailable,
-                        Problem{"not entitled to answer"});
+    context_.outbox.Answer(request, http_status::kServiceUnavailable,
+                           Problem{"not entitled to answer"});
     return false;
   }
   if (IsStale(heartbeat)) {
-    context_.out.Answer(request, http_status::kServiceUnavailable,
-                        Problem{"late report"});
+    context_.outbox.Answer(request, http_status::kServiceUnavailable,
+                           Problem{"late report"});
     return false;
   }
   Accept(request, heartbeat);
@@ -73,19 +73,19 @@
   Machine& machine = machines_.GetOrAdd(heartbeat.machine);
   responder_.Refuse(machine);
   if (!machine.heartbeat) {
-    context_.out.Log(LogLevel::kInfo,
-                     "event=worker_joined partition={} machine={} spot={} "
-                     "zone={} agent_epoch={}",
-                     term_.partition, heartbeat.machine, heartbeat.spot,
-                     heartbeat.zone, heartbeat.agent_epoch);
+    context_.outbox.Log(LogLevel::kInfo,
+                        "event=worker_joined partition={} machine={} spot={} "
+                        "zone={} agent_epoch={}",
+                        term_.partition, heartbeat.machine, heartbeat.spot,
+                        heartbeat.zone, heartbeat.agent_epoch);
   }
   Duration silence =
       3 * context_.deployment.heartbeat_interval + kSilenceMargin;
   machine.awaits_second_heartbeat =
-      !machine.heartbeat || now - machine.heard > silence;
+      !machine.heartbeat || now - machine.last_heartbeat_time > silence;
   std::optional<WorkerHeartbeat> before = std::move(machine.heartbeat);
   machine.heartbeat = heartbeat;
-  machine.heard = now;
+  machine.last_heartbeat_time = now;
   last_heard_ = now;
   machine.gone = false;
   machine.pending_request = request;
@@ -124,17 +124,18 @@
   if (busy) {
     machine.idle_since.reset();
   } else if (!machine.idle_since) {
-    machine.idle_since = machine.heard;
+    machine.idle_since = machine.last_heartbeat_time;
   }
 }
 
 void HeartbeatHandler::RecordPreemptionNotice(Machine& machine) {
   const std::optional<Duration>& notice = machine.heartbeat->preemption_notice;
   if (!notice || machine.preemption_at) return;
-  machine.preemption_at = machine.heard + *notice;
-  context_.out.Log(LogLevel::kInfo,
-                   "event=preemption_notice machine={} seconds={:.1f} tasks={}",
-                   machine.name, ToSeconds(*notice), machine.bound.size());
+  machine.preemption_at = machine.last_heartbeat_time + *notice;
+  context_.outbox.Log(
+      LogLevel::kInfo,
+      "event=preemption_notice machine={} seconds={:.1f} tasks={}",
+      machine.name, ToSeconds(*notice), machine.bound.size());
 }
 
 void HeartbeatHandler::UpdateAttempt(
@@ -144,7 +145,7 @@
   attempt.reported = true;
   attempt.state = task.state;
   if (task.state == TaskState::kRunning && !attempt.running_since) {
-    attempt.running_since = machine.heard;
+    attempt.running_since = machine.last_heartbeat_time;
     LogReplicaUp(machine, entry);
   }
   faults_.MarkProvenReplica(machine, attempt);
@@ -160,12 +161,12 @@
   const JobSpec& spec = attempt.job->spec();
   bool service = spec.shape == Shape::kService;
   if (!service || attempt.bound_by_previous_owner) return;
-  Duration age = context_.out.now().wall - attempt.job->record.submitted;
-  context_.out.Log(LogLevel::kInfo,
-                   "event=replica_up job={} task={} machine={} cached={} "
-                   "job_age={:.1f}",
-                   spec.id, key.second, machine.name,
-                   machine.images.contains(spec.image), ToSeconds(age));
+  Duration age = context_.outbox.now().wall - attempt.job->record.submitted;
+  context_.outbox.Log(LogLevel::kInfo,
+                      "event=replica_up job={} task={} machine={} cached={} "
+                      "job_age={:.1f}",
+                      spec.id, key.second, machine.name,
+                      machine.images.contains(spec.image), ToSeconds(age));
 }
 
 // A machine may be able to send heartbeats but not to receive the answers. A
--- a/src/core/partition/load_reporter.cc
+++ b/src/core/partition/load_reporter.cc
@@ -39,15 +39,15 @@
 };
 
 double ToCpus(int64_t amount) {
-  return static_cast<double>(amount) / Resources::kUnit;
+  return static_cast<double>(amount) / Resources::kScale;
 }
 
 }  // namespace
 
 void LoadReporter::AddLoad(PendingTransaction& pending) const {
-  WallTime now = context_.out.now().wall;
-  auto period =
-      static_cast<uint64_t>(now.time_since_epoch() / context_.tuning.period);
+  WallTime now = context_.outbox.now().wall;
+  auto period = static_cast<uint64_t>(now.time_since_epoch() /
+                                      context_.tuning.sizing_period);
   if (period <= reported_period_ || !pending.MayAddPut()) return;
   LoadRecord load;
   load.period = period;
@@ -74,7 +74,7 @@
     started_ = 0;
     waited_ = Duration(0);
   }
-  started_ += pending.starts;
+  started_ += pending.start_count;
   waited_ += pending.total_wait_time;
 }
 
@@ -82,10 +82,11 @@
   CpuUse use;
   for (const auto& [name, machine] : machines_.machines()) {
     use.total += machine.capacity.cpus;
-    if (!machine.TakesTasks(context_.now())) use.closed += machine.Free().cpus;
+    if (!machine.AcceptsTasks(context_.now()))
+      use.closed += machine.Free().cpus;
     for (const auto& [key, attempt] : machine.bound) use.Add(attempt);
   }
-  context_.out.Log(
+  context_.outbox.Log(
       LogLevel::kInfo,
       "event=partition_load partition={} machines={} cpus={:.0f} "
       "starting={:.0f} fetching={:.0f} running={:.0f} ended={:.0f} "
--- a/src/core/partition/machine_drainer.cc
+++ b/src/core/partition/machine_drainer.cc
@@ -54,9 +54,9 @@
     if (!has_capacity_elsewhere && !preempted_soon) continue;
     attempt.drain_requested = true;
     ++draining;
-    context_.out.Log(LogLevel::kInfo,
-                     "event=drain_replica job={} task={} machine={}", key.first,
-                     key.second, machine.name);
+    context_.outbox.Log(LogLevel::kInfo,
+                        "event=drain_replica job={} task={} machine={}",
+                        key.first, key.second, machine.name);
   }
 }
 
@@ -66,8 +66,8 @@
   return std::ranges::any_of(machines_.machines(), [&](const auto& entry) {
     const Machine& other = entry.second;
     bool candidate = other.name != machine.name && other.zone == machine.zone &&
-                     other.TakesTasks(now);
-    return candidate && Allowed(spec, other, {}) &&
+                     other.AcceptsTasks(now);
+    return candidate && IsPlacementAllowed(spec, other, {}) &&
            spec.resources.FitsIn(other.Free());
   });
 }
@@ -77,9 +77,9 @@
   for (auto& [key, attempt] : machine.bound) {
     if (attempt.drain_requested) continue;
     attempt.drain_requested = true;
-    context_.out.Log(LogLevel::kInfo,
-                     "event=drain_task job={} task={} machine={}", key.first,
-                     key.second, machine.name);
+    context_.outbox.Log(LogLevel::kInfo,
+                        "event=drain_task job={} task={} machine={}", key.first,
+                        key.second, machine.name);
   }
 }
 
--- a/src/core/partition/machine_health.cc
+++ b/src/core/partition/machine_health.cc
@@ -26,13 +26,13 @@
 }  // namespace
 
 void MachineHealth::UpdateCordon(Machine& machine) {
-  bool cordoned = context_.state_cache.Draining(machine.name);
+  bool cordoned = context_.state_cache.IsDraining(machine.name);
   if (cordoned == machine.cordoned) return;
   machine.cordoned = cordoned;
   reschedule_.Raise();
-  context_.out.Log(LogLevel::kInfo, "event={} machine={} tasks={}",
-                   cordoned ? "cordon" : "uncordon", machine.name,
-                   machine.bound.size());
+  context_.outbox.Log(LogLevel::kInfo, "event={} machine={} tasks={}",
+                      cordoned ? "cordon" : "uncordon", machine.name,
+                      machine.bound.size());
 }
 
 void MachineHealth::UpdateLease(Machine& machine) {
@@ -48,7 +48,7 @@
   // new owner. So every lease that it renewed has expired once the time limit
   // of a cancellation has passed, whether or not the workers can be reached.
   bool former_leases_expired =
-      now - term_.since > WithDrift(context_.deployment.cancel);
+      now - term_.since > WithDrift(context_.deployment.cancel_time_limit);
   bool never_heard = !machine.heartbeat && !machine.bound.empty();
   bool lost = machine.fencing_token_seen
                   ? lease_expired
@@ -56,14 +56,14 @@
   if (!lost) return;
   machine.gone = true;
   reschedule_.Raise();
-  context_.out.Log(
+  context_.outbox.Log(
       LogLevel::kWarning, "event=worker_lost machine={} proof={} tasks={}",
       machine.name, machine.fencing_token_seen ? "lease" : "former_owner",
       machine.bound.size());
 }
 
 Duration MachineHealth::SilenceOf(const Machine& machine) const {
-  return context_.now() - std::max(machine.heard, term_.since);
+  return context_.now() - std::max(machine.last_heartbeat_time, term_.since);
 }
 
 bool MachineHealth::InboundUnreachable(const Machine& machine) const {
@@ -114,9 +114,9 @@
     const char* reason = ReasonToDelete(machine, symptoms);
     if (reason == nullptr && !machine.deleting) continue;
     if (!machine.deleting) {
-      context_.out.Log(LogLevel::kInfo,
-                       "event=delete machine={} reason={} tasks={}", name,
-                       reason, machine.bound.size());
+      context_.outbox.Log(LogLevel::kInfo,
+                          "event=delete machine={} reason={} tasks={}", name,
+                          reason, machine.bound.size());
     }
     machine.deleting = true;
     names.push_back(name);
@@ -130,13 +130,13 @@
   if (machines_.machines().empty()) return;
   next_call_ = now + kDeleteInterval;
   std::vector<std::string> names = ChooseMachinesToDelete();
-  if (names.empty() || !context_.cloud.Take(now, 1)) return;
+  if (names.empty() || !context_.cloud_call_bucket.Take(now, 1)) return;
   call_pending_ = true;
-  context_.out.CallCloud(pitchfall::DeleteMachines{names},
-                         context_.tuning.cloud_timeout,
-                         lifetime_.Wrap([this, names](const CloudReply& reply) {
-                           OnDeleteReply(names, reply);
-                         }));
+  context_.outbox.CallCloud(
+      pitchfall::DeleteMachines{names}, context_.tuning.cloud_timeout,
+      lifetime_.Wrap([this, names](const CloudReply& reply) {
+        OnDeleteReply(names, reply);
+      }));
 }
 
 void MachineHealth::OnDeleteReply(const std::vector<std::string>& names,
--- a/src/core/partition/machine_registry.h
+++ b/src/core/partition/machine_registry.h
@@ -61,7 +61,7 @@
   FreeCapacity Free(SteadyTime now) const {
     FreeCapacity free;
     for (const auto& [name, machine] : machines_) {
-      if (machine.TakesTasks(now)) {
+      if (machine.AcceptsTasks(now)) {
         free.AddMachine(machine.Free().cpus, machine.spot);
       }
     }
--- a/src/core/partition/partition.cc
+++ b/src/core/partition/partition.cc
@@ -36,7 +36,7 @@
       quota_(context, number),
       bindings_(context.state_cache, number, machines_, quota_, reschedule_),
       entitlement_(context, term_),
-      faults_(context.out, context.state_cache, machines_),
+      faults_(context.outbox, context.state_cache, machines_),
       responder_(context, term_, entitlement_, machines_),
       heartbeats_(context, term_, machines_, entitlement_, responder_, faults_),
       health_(context, term_, machines_, responder_, reschedule_),
@@ -51,16 +51,16 @@
                    const Machine* machine = machines_.Find(name);
                    return machine != nullptr && machine->fencing_token_seen;
                  }) {
-  context_.out.Log(LogLevel::kInfo,
-                   "event=partition_acquired partition={} token={}",
-                   term_.partition, term_.fencing_token);
+  context_.outbox.Log(LogLevel::kInfo,
+                      "event=partition_acquired partition={} token={}",
+                      term_.partition, term_.fencing_token);
 }
 
 Partition::~Partition() {
   for (auto& [name, machine] : machines_.machines()) responder_.Refuse(machine);
-  context_.out.Log(LogLevel::kInfo,
-                   "event=partition_released partition={} token={}",
-                   term_.partition, term_.fencing_token);
+  context_.outbox.Log(LogLevel::kInfo,
+                      "event=partition_released partition={} token={}",
+                      term_.partition, term_.fencing_token);
 }
 
 void Partition::OnWorkerHeartbeat(RequestId request,
@@ -68,14 +68,14 @@
   if (heartbeats_.Handle(request, heartbeat)) reschedule_.Raise();
 }
 
-void Partition::Step() {
+void Partition::RunDueWork() {
   SteadyTime now = context_.now();
   ReconcileMachines();
-  announcer_.Step();
+  announcer_.RunDueWork();
   if (committer_.busy() || now < next_schedule_) return;
   bool within_idle_delay = now - next_schedule_ < kIdleScheduleDelay;
   if (!reschedule_.raised() && within_idle_delay) return;
-  if (!context_.state_watcher.Fresh()) {
+  if (!context_.state_watcher.IsFresh()) {
     responder_.AnswerHeartbeats(now);
     next_schedule_ = now + kScheduleInterval;
     return;
@@ -136,7 +136,7 @@
 
 void Partition::ScheduleTasks() {
   SteadyTime now = context_.now();
-  double tokens = context_.writes.Available(now);
+  double tokens = context_.state_write_bucket.Available(now);
   short_of_write_tokens_ = tokens < 1;
   if (short_of_write_tokens_) {
     // Scheduling stays due at every call, so that this partition gets its turn
@@ -150,8 +150,8 @@
   ForgetPlanned();
   TransactionBudget budget = BudgetFor(tokens);
   std::vector<const Job*> jobs = OrderJobs(
-      context_.state_cache, context_.out.now().wall, context_.deployment);
-  quota_.CountEverywhere();
+      context_.state_cache, context_.outbox.now().wall, context_.deployment);
+  quota_.RecountClusterUse();
   PreemptTasks(jobs);
   PendingTransaction pending = DraftTransaction(budget, jobs);
   auto transaction = builder_.Build(pending, committer_.write_fence());
@@ -170,7 +170,7 @@
   }
   if (!transaction) {
     reschedule_.Raise();
-    context_.out.Log(
+    context_.outbox.Log(
         LogLevel::kError, "event=segments_full partition={} bytes={}",
         term_.partition, context_.state_cache.LiveBytes(term_.partition));
     responder_.AnswerHeartbeats(now);
@@ -185,17 +185,17 @@
 
 void Partition::PreemptTasks(const std::vector<const Job*>& jobs) {
   auto victims = ChooseVictims(context_.state_cache, context_.deployment, jobs,
-                               context_.out.now().wall);
+                               context_.outbox.now().wall);
   for (auto& [name, machine] : machines_.machines()) {
     for (auto& [key, attempt] : machine.bound) {
       auto victim = victims.find({key.first, key.second, attempt.attempt});
       bool chosen = victim != victims.end();
       attempt.stop_without_saving =
-          chosen && victim->second == StopKind::kAtOnce;
+          chosen && victim->second == StopKind::kWithoutSaving;
       if (chosen && !attempt.preempted) {
-        context_.out.Log(LogLevel::kInfo,
-                         "event=preempt job={} task={} machine={} team={}",
-                         key.first, key.second, name, attempt.job->spec().team);
+        context_.outbox.Log(
+            LogLevel::kInfo, "event=preempt job={} task={} machine={} team={}",
+            key.first, key.second, name, attempt.job->spec().team);
       }
       attempt.preempted = chosen;
     }
@@ -204,14 +204,14 @@
 
 void Partition::ForgetPlanned() {
   machines_.ForgetPlanned();
-  quota_.ForgetPlanned();
+  quota_.ClearPlanned();
 }
 
 PendingTransaction Partition::DraftTransaction(
     const TransactionBudget& budget, const std::vector<const Job*>& jobs) {
   ForgetPlanned();
   PendingTransaction pending(budget);
-  reconciler_.AddEnds(pending);
+  reconciler_.AddEndedAttempts(pending);
   reconciler_.AddFinishedJobs(pending);
   load_reporter_.AddLoad(pending);
   starter_.AddStarts(pending, jobs);
@@ -225,7 +225,7 @@
   reschedule_.Raise();
   for (auto& [name, machine] : machines_.machines())
     machine.planned.resources = {};
-  quota_.ForgetPlanned();
+  quota_.ClearPlanned();
   last_write_too_large_ = outcome == CommitOutcome::kTooLarge;
   switch (outcome) {
     case CommitOutcome::kStored:
@@ -278,8 +278,8 @@
   if (machine == nullptr) return;
   machine->paused_until =
       std::max(machine->paused_until, context_.now() + kPauseAfterRefusal);
-  context_.out.Log(LogLevel::kInfo, "event=start_refused machine={} job={}",
-                   report.machine, report.job);
+  context_.outbox.Log(LogLevel::kInfo, "event=start_refused machine={} job={}",
+                      report.machine, report.job);
 }
 
 }  // namespace pitchfall
--- a/src/core/partition/partition.h
+++ b/src/core/partition/partition.h
@@ -61,7 +61,7 @@
   }
   // Does the periodic work that is due. Must be called at least every few tens
   // of milliseconds.
-  void Step();
+  void RunDueWork();
 
   uint32_t number() const { return term_.partition; }
   uint64_t fencing_token() const { return term_.fencing_token; }
--- a/src/core/partition/pending_transaction.h
+++ b/src/core/partition/pending_transaction.h
@@ -72,7 +72,7 @@
   std::map<std::string, TeamRecord> teams;  // changed records, by team
   std::set<std::string> done_jobs;          // jobs that are then completed
   std::optional<LoadRecord> load;           // none if no load record is due
-  uint32_t starts = 0;                      // the number of tasks that start
+  uint32_t start_count = 0;                 // the number of tasks that start
   // The sum of the times that the starting tasks have waited.
   Duration total_wait_time{0};
   std::vector<AttemptReport> reports;
--- a/src/core/partition/task_starter.cc
+++ b/src/core/partition/task_starter.cc
@@ -17,7 +17,7 @@
 // placement does not depend on them.
 ZoneUse CountZones(const Job& job) {
   ZoneUse use;
-  if (!job.constrained()) return use;
+  if (!job.has_zone_constraint()) return use;
   for (const auto& [number, chunk] : job.chunks) {
     for (const Assignment& assignment : chunk.record.assigned) {
       use.tasks[assignment.zone] += 1;
@@ -35,20 +35,21 @@
 }
 
 bool TaskStarter::NeedsOrderedStarts(const Job& job) const {
-  return job.constrained() && job.shared(context_.partition_count);
+  return job.has_zone_constraint() &&
+         job.spans_partitions(context_.partition_count);
 }
 
 size_t TaskStarter::MaxBoundInChunk() const {
   bool all_read_more =
-      context_.state_cache.AllNodesSupport(kStandingJobsVersion);
-  return all_read_more ? kMaxInChunk : kMaxInChunkVersion1;
+      context_.state_cache.AllNodesSupport(kServiceJobsVersion);
+  return all_read_more ? kMaxBoundPerChunk : kMaxBoundPerChunkVersion1;
 }
 
 void TaskStarter::CollectSchedulableMachines() {
   SteadyTime now = context_.now();
   schedulable_machines_.clear();
   for (auto& [name, machine] : machines_.machines()) {
-    if (!machine.TakesTasks(now)) continue;
+    if (!machine.AcceptsTasks(now)) continue;
     schedulable_machines_.push_back(&machine);
     SteadyTime expected =
         machine.last_answer + context_.deployment.heartbeat_interval;
@@ -97,14 +98,14 @@
     transfer_.AddTransfers(pending, job, waiting_since);
     return;
   }
-  uint32_t starts_before = pending.starts;
+  uint32_t starts_before = pending.start_count;
   Placement outcome = StartInOwnedChunks(pending, placement);
   // A team's limit applies to all partitions together, so a lack of quota is no
   // reason to transfer.
   if (outcome == Placement::kNoMachine) {
     transfer_.AddTransfers(pending, job, waiting_since);
   }
-  int64_t started = pending.starts - starts_before;
+  int64_t started = pending.start_count - starts_before;
   int64_t still_waiting = static_cast<int64_t>(job.waiting()) - started;
   bool displaces = spec.shape == Shape::kService &&
                    outcome == Placement::kNoMachine &&
@@ -115,7 +116,7 @@
                            still_waiting);
   }
   if (still_waiting > 0) {
-    int priority = AgedPriority(job, context_.out.now().wall);
+    int priority = AgedPriority(job, context_.outbox.now().wall);
     quota_.Reserve({spec.team, priority}, spec.resources * still_waiting);
   }
 }
@@ -220,7 +221,7 @@
   AddTask(chunk.completed_or_bound, task);
   pending.starting_jobs.insert(&job);
   if (NeedsOrderedStarts(job)) pending.ordered_start_jobs.insert(&job);
-  pending.starts += 1;
+  pending.start_count += 1;
   pending.total_wait_time += context_.now() - placement.waiting_since;
   machine.planned.resources += spec.resources;
   machine.planned.images.insert(spec.image);
@@ -235,15 +236,15 @@
   if (job.assigned > 0) return false;
   uint32_t left = spec.tasks - std::min(spec.tasks, job.done);
   const Team& team = context_.deployment.teams.at(spec.team);
-  Resources use = quota_.UseEverywhere(spec.team) + spec.resources * left;
+  Resources use = quota_.ClusterUse(spec.team) + spec.resources * left;
   bool over_cpus = team.cpus_limit > 0 && use.cpus > team.cpus_limit;
   bool over_gpus = team.gpus_limit > 0 && use.gpus > team.gpus_limit;
   if (over_cpus || over_gpus) return false;
   std::map<std::string, int64_t> tasks_by_zone;
   int64_t tasks = 0;
   for (const Machine* machine : schedulable_machines_) {
-    if (!Allowed(spec, *machine, {})) continue;
-    int64_t count = spec.resources.CountIn(machine->Free(), left);
+    if (!IsPlacementAllowed(spec, *machine, {})) continue;
+    int64_t count = spec.resources.CountFittingIn(machine->Free(), left);
     tasks_by_zone[machine->zone] += count;
     tasks += count;
   }
--- a/src/core/partition/task_starter.h
+++ b/src/core/partition/task_starter.h
@@ -38,7 +38,7 @@
         quota_(quota),
         failures_(failures),
         transfer_(context, term),
-        displacer_(context.out),
+        displacer_(context.outbox),
         sizes_(context.state_limits) {}
 
   // Adds starts and transfers for `jobs`, which come in the order in which they
--- a/src/core/partition/worker_commands.cc
+++ b/src/core/partition/worker_commands.cc
@@ -68,7 +68,8 @@
               const WorkerHeartbeat& heartbeat, const CommandPolicy& policy) {
   // The attempt may have run already, or the task may start elsewhere at any
   // moment.
-  if (attempt.bound_by_previous_owner || attempt.reported || attempt.ending) {
+  if (attempt.bound_by_previous_owner || attempt.reported ||
+      attempt.end_pending) {
     return false;
   }
   if (attempt.StopRequested() || !policy.job_active(attempt)) return false;
--- a/src/core/partition/worker_responder.cc
+++ b/src/core/partition/worker_responder.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-bool IsWanted(const Context& context, const BoundAttempt& attempt) {
+bool IsJobActive(const Context& context, const BoundAttempt& attempt) {
   return !attempt.job->record.final() &&
          !context.cancelled_by_peers.contains(attempt.job->spec().id);
 }
@@ -22,11 +22,11 @@
   CommandPolicy policy;
   policy.fencing_token = term_.fencing_token;
   policy.now = context_.now();
-  policy.may_start = context_.state_watcher.Fresh() &&
+  policy.may_start = context_.state_watcher.IsFresh() &&
                      machine.fencing_token_seen &&
-                     machine.TakesTasks(context_.now());
+                     machine.AcceptsTasks(context_.now());
   policy.job_active = [this](const BoundAttempt& attempt) {
-    return IsWanted(context_, attempt);
+    return IsJobActive(context_, attempt);
   };
   return policy;
 }
@@ -45,8 +45,8 @@
   }
   WorkerCommands commands{term_.fencing_token,
                           BuildCommands(machine, PolicyFor(machine))};
-  context_.out.Answer(machine.pending_request, http_status::kOk,
-                      std::move(commands));
+  context_.outbox.Answer(machine.pending_request, http_status::kOk,
+                         std::move(commands));
   machine.pending_request = 0;
   machine.last_answer = context_.now();
   machine.inbound.answers_in_epoch += 1;
@@ -54,8 +54,9 @@
 
 void WorkerResponder::Refuse(Machine& machine) {
   if (machine.pending_request == 0) return;
-  context_.out.Answer(machine.pending_request, http_status::kServiceUnavailable,
-                      Problem{"not entitled to answer"});
+  context_.outbox.Answer(machine.pending_request,
+                         http_status::kServiceUnavailable,
+                         Problem{"not entitled to answer"});
   machine.pending_request = 0;
 }
 
@@ -70,7 +71,7 @@
     if (stops.empty()) continue;
     CommandWorker request{term_.fencing_token, machine.heartbeat->agent_epoch,
                           stops};
-    context_.out.CallWorker(
+    context_.outbox.CallWorker(
         machine.address, std::move(request), kCommandTimeout,
         lifetime_.Wrap([this, name = name,
                         stops = std::move(stops)](const WorkerReply& reply) {
--- a/src/core/partition/worker_responder.h
+++ b/src/core/partition/worker_responder.h
@@ -57,7 +57,7 @@
 
 // Whether the job of the bound attempt is neither done nor cancelled, according
 // to its stored record and to what other controllers have reported.
-bool IsWanted(const Context& context, const BoundAttempt& attempt);
+bool IsJobActive(const Context& context, const BoundAttempt& attempt);
 
 }  // namespace pitchfall
 
--- a/src/core/scheduling/displacement.cc
+++ b/src/core/scheduling/displacement.cc
@@ -26,7 +26,7 @@
   Duration ran = now - *task.running_since;
   Duration lost = spec.checkpoint.count() > 0 ? std::min(ran, spec.save) : ran;
   return ToSeconds(lost) * static_cast<double>(spec.resources.cpus) /
-         Resources::kUnit;
+         Resources::kScale;
 }
 
 // The machine's tasks of lower priority that are not stopping yet, the one that
@@ -36,7 +36,8 @@
   std::vector<Candidate> candidates;
   for (const auto& [key, task] : machine.bound) {
     const JobSpec& other = task.job->spec();
-    if (task.StopRequested() || task.ending || other.priority >= spec.priority)
+    if (task.StopRequested() || task.end_pending ||
+        other.priority >= spec.priority)
       continue;
     candidates.push_back(
         {key, other.priority, LostWork(task, now), other.resources});
@@ -50,7 +51,7 @@
 Resources ExpectedCapacity(const Machine& machine) {
   Resources capacity = machine.Free();
   for (const auto& [key, task] : machine.bound) {
-    if (task.StopRequested() && !task.ending)
+    if (task.StopRequested() && !task.end_pending)
       capacity += task.job->spec().resources;
   }
   return capacity;
@@ -106,7 +107,7 @@
   std::optional<Displacement> best;
   for (Machine* machine : machines) {
     if (with_image && !machine->images.contains(spec.image)) continue;
-    if (!Allowed(spec, *machine, use)) continue;
+    if (!IsPlacementAllowed(spec, *machine, use)) continue;
     auto known =
         expected_capacity_.try_emplace(machine, ExpectedCapacity(*machine));
     auto found = FindDisplacement(spec, *machine, known.first->second, now_);
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -44,7 +44,7 @@
   double left = spec.tasks - std::min(spec.tasks, job.done + job.assigned) +
                 kRemainingOfRunning * job.assigned;
   planned.work =
-      left * static_cast<double>(spec.resources.cpus) / Resources::kUnit * run;
+      left * static_cast<double>(spec.resources.cpus) / Resources::kScale * run;
   double age = ToSeconds(now - job.record.submitted);
   auto consider = [&](Duration within) {
     double rest = ToSeconds(within) - age;
@@ -114,7 +114,7 @@
     const JobSpec& spec = planned.job->spec();
     if (spec.shape != Shape::kService) continue;
     bound += static_cast<double>(spec.resources.cpus) * planned.job->assigned /
-             Resources::kUnit;
+             Resources::kScale;
   }
   return bound;
 }
@@ -126,7 +126,7 @@
   double processors = 1;
   for (const auto& [id, job] : state_cache.open_jobs()) {
     processors += static_cast<double>(job->spec().resources.cpus) *
-                  job->assigned / Resources::kUnit;
+                  job->assigned / Resources::kScale;
   }
   if (state_cache.sizing() && state_cache.types() &&
       !state_cache.types()->value.types.empty()) {
@@ -134,7 +134,7 @@
     processors =
         std::max(processors, state_cache.sizing()->value.target *
                                  static_cast<double>(type.capacity.cpus) /
-                                 Resources::kUnit);
+                                 Resources::kScale);
   }
   return processors;
 }
@@ -176,7 +176,7 @@
     int64_t guaranteed =
         team == deployment.teams.end() ? 0 : team->second.cpus_guaranteed;
     double processors =
-        limit > 0 ? static_cast<double>(limit) / Resources::kUnit : cluster;
+        limit > 0 ? static_cast<double>(limit) / Resources::kScale : cluster;
     PlanTeam(jobs, std::max(1.0, processors - ProcessorsOfServices(jobs)));
     size_t first = ranked.size();
     for (const PlannedJob& planned : jobs) {
@@ -213,7 +213,8 @@
   return jobs;
 }
 
-bool Allowed(const JobSpec& spec, const Machine& machine, const ZoneUse& use) {
+bool IsPlacementAllowed(const JobSpec& spec, const Machine& machine,
+                        const ZoneUse& use) {
   if (machine.spot && !spec.spot) return false;
   if (!spec.zone.empty() && spec.zone != machine.zone) return false;
   if (!spec.AllowsType(machine.type)) return false;
@@ -236,7 +237,7 @@
   for (Machine* machine : machines) {
     Resources free = machine->Free();
     if (!spec.resources.FitsIn(free) || avoid.contains(machine->name)) continue;
-    if (!Allowed(spec, *machine, use)) continue;
+    if (!IsPlacementAllowed(spec, *machine, use)) continue;
     // Replicas of one service start on different machines at the same time, so
     // a fetch that is only planned does not bring the image any nearer.
     bool will_have_image = service ? machine->bound_images.contains(spec.image)
@@ -245,7 +246,8 @@
                 : will_have_image                    ? 1
                                                      : 2;
     bool has_replica = service && machine->HasTaskOf(spec.id);
-    int64_t tasks = image < 2 ? 0 : spec.resources.CountIn(free, waiting);
+    int64_t tasks =
+        image < 2 ? 0 : spec.resources.CountFittingIn(free, waiting);
     // Estimated seconds until the task starts; 0 if that does not matter.
     int64_t delay =
         urgent
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -59,7 +59,8 @@
 // Whether the job's constraints (spot machines, zone, machine type, one zone,
 // spread) allow one more of its tasks on this machine, given the zones of its
 // other tasks. Does not look at free capacity.
-bool Allowed(const JobSpec& spec, const Machine& machine, const ZoneUse& use);
+bool IsPlacementAllowed(const JobSpec& spec, const Machine& machine,
+                        const ZoneUse& use);
 
 // Returns the best of `machines` with capacity for one task of the job, or null
 // if there is none. Machines in `avoid` are left out. `waiting` is the number
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -82,7 +82,7 @@
                  chosen.assignment.attempt}] =
             deployment.StartsWithin(spec.job_class,
                                     chosen.job->spec().save + kSavingMargin)
-                ? StopKind::kAtOnce
+                ? StopKind::kWithoutSaving
                 : StopKind::kSave;
       }
       if (!(used + spec.resources).FitsIn(limit)) break;
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -27,7 +27,7 @@
   kSave,  // after it has saved a checkpoint
   // Without saving, because saving takes longer than the more important job can
   // wait: the work since the task's last checkpoint is lost.
-  kAtOnce,
+  kWithoutSaving,
 };
 
 // For each team whose limit keeps jobs waiting, selects as many tasks as are
--- a/src/core/scheduling/team_quota.cc
+++ b/src/core/scheduling/team_quota.cc
@@ -15,7 +15,7 @@
 // this and by the number of partitions.
 constexpr int kIncrementsPerPartition = 8;
 // Where that amount would be smaller, quota shares follow their use exactly.
-constexpr int64_t kMinIncrement = 4 * Resources::kUnit;
+constexpr int64_t kMinIncrement = 4 * Resources::kScale;
 
 // Rounds up to a multiple of `increment`; 0 leaves the amount as it is.
 int64_t RoundUp(int64_t amount, int64_t increment) {
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-void TeamQuota::CountEverywhere() {
+void TeamQuota::RecountClusterUse() {
   cluster_use_.clear();
   for (const auto& [id, job] : context_.state_cache.open_jobs()) {
     const JobSpec& spec = job->spec();
@@ -60,7 +60,7 @@
   }
 }
 
-Resources TeamQuota::UseEverywhere(const std::string& team) const {
+Resources TeamQuota::ClusterUse(const std::string& team) const {
   return Find(cluster_use_, team) + Find(planned_, team);
 }
 
@@ -101,8 +101,8 @@
 
 bool TeamQuota::LeavesReserved(const Job& job, const Team& team) const {
   const JobSpec& spec = job.spec();
-  int priority = AgedPriority(job, context_.out.now().wall);
-  Resources use = UseEverywhere(spec.team) + spec.resources;
+  int priority = AgedPriority(job, context_.outbox.now().wall);
+  Resources use = ClusterUse(spec.team) + spec.resources;
   for (auto it = reserved_.upper_bound({spec.team, priority});
        it != reserved_.end() && it->first.first == spec.team; ++it) {
     use += it->second;
@@ -116,7 +116,7 @@
   if (found == context_.deployment.teams.end()) return false;
   const Team& team = found->second;
   if (team.cpus_limit == 0 && team.gpus_limit == 0) return true;
-  bool starving = IsStarving(job, context_.out.now().wall);
+  bool starving = IsStarving(job, context_.outbox.now().wall);
   if (!starving && !LeavesReserved(job, team)) return false;
   const Resources use = PartitionUse(spec.team) + spec.resources;
   TeamRecord record = RecordOf(drafted, spec.team);
--- a/src/core/scheduling/team_quota.h
+++ b/src/core/scheduling/team_quota.h
@@ -43,13 +43,13 @@
     planned_[team] += amount;
   }
   // Drops the planned changes: another transaction is to be built.
-  void ForgetPlanned() { planned_.clear(); }
+  void ClearPlanned() { planned_.clear(); }
 
   // Recounts what the tasks of all partitions use, from the state cache.
-  void CountEverywhere();
+  void RecountClusterUse();
   // Returns what the team's tasks in all partitions used at the last
-  // CountEverywhere, with the changes of the transaction being built.
-  Resources UseEverywhere(const std::string& team) const;
+  // RecountClusterUse, with the changes of the transaction being built.
+  Resources ClusterUse(const std::string& team) const;
 
   // Reserves what the waiting jobs of a team ask for, by their aged priority.
   // Jobs of lower priority get none of it.
--- a/src/core/state/context.h
+++ b/src/core/state/context.h
@@ -23,14 +23,15 @@
 struct Context {
   const Deployment& deployment;
   const Tuning& tuning;
-  Outbox& out;
+  Outbox& outbox;
   StateCache& state_cache;
   StateWatcher& state_watcher;
-  TokenBucket& requests;     // limits requests to the state service
-  TokenBucket& writes;       // limits puts and deletes in the state service
-  TokenBucket& cloud;        // limits calls to the cloud
-  std::string incarnation;   // differs for every process that ever ran
-  uint32_t partition_count;  // partitions of the whole deployment
+  TokenBucket& state_request_bucket;  // limits requests to the state service
+  TokenBucket&
+      state_write_bucket;  // limits puts and deletes in the state service
+  TokenBucket& cloud_call_bucket;  // limits calls to the cloud
+  std::string incarnation;         // differs for every process that ever ran
+  uint32_t partition_count;        // partitions of the whole deployment
   CapacityTable capacity_table;
   CancellationWatermark cancellation_watermark;
   StateLimits state_limits;  // apply to every write to the state service
@@ -40,7 +41,7 @@
   std::set<std::string> cancelled_by_peers{};
 
   // The steady time at which the current batch of commands is handled.
-  SteadyTime now() const { return out.now().steady; }
+  SteadyTime now() const { return outbox.now().steady; }
 };
 
 }  // namespace pitchfall
--- a/src/core/state/job_table.cc
+++ b/src/core/state/job_table.cc
@@ -103,7 +103,7 @@
   job.assigned += static_cast<uint32_t>(current.record.assigned.size()) -
                   static_cast<uint32_t>(before.record.assigned.size());
   for (ChunkListener* listener : listeners_) {
-    listener->OnChunk(job, chunk, is_new ? nullptr : &before, &current);
+    listener->OnChunkChanged(job, chunk, is_new ? nullptr : &before, &current);
   }
   UpdateOpenJobs(job);
 }
@@ -159,7 +159,7 @@
 void JobTable::NotifyChunksRemoved(const Listeners& listeners) const {
   ForEachOpenChunk([&](const Job& job, uint32_t number, const auto& chunk) {
     for (ChunkListener* listener : listeners) {
-      listener->OnChunk(job, number, &chunk, nullptr);
+      listener->OnChunkChanged(job, number, &chunk, nullptr);
     }
   });
 }
@@ -167,7 +167,7 @@
 void JobTable::NotifyChunksAdded(const Listeners& listeners) const {
   ForEachOpenChunk([&](const Job& job, uint32_t number, const auto& chunk) {
     for (ChunkListener* listener : listeners) {
-      listener->OnChunk(job, number, nullptr, &chunk);
+      listener->OnChunkChanged(job, number, nullptr, &chunk);
     }
   });
 }
--- a/src/core/state/job_table.h
+++ b/src/core/state/job_table.h
@@ -34,8 +34,9 @@
   virtual ~ChunkListener() = default;
   // `before` is null for a new chunk, `after` for one that is removed. The job
   // is still in the table during the call.
-  virtual void OnChunk(const Job& job, uint32_t chunk, const Job::Chunk* before,
-                       const Job::Chunk* after) = 0;
+  virtual void OnChunkChanged(const Job& job, uint32_t chunk,
+                              const Job::Chunk* before,
+                              const Job::Chunk* after) = 0;
 };
 
 // Returns whether `candidate` is a newer version of a chunk than `current`. For
--- a/src/core/state/state_cache.cc
+++ b/src/core/state/state_cache.cc
@@ -122,7 +122,7 @@
   return nullptr;
 }
 
-bool StateCache::NodeAlive(const PartitionRecord &owner) const {
+bool StateCache::IsOwnerAlive(const PartitionRecord &owner) const {
   return nodes_.contains(owner.label + "." + owner.incarnation);
 }
 
--- a/src/core/state/state_cache.h
+++ b/src/core/state/state_cache.h
@@ -90,7 +90,7 @@
   // The live controllers, by "label.incarnation".
   const Table<NodeRecord> &nodes() const { return nodes_; }
   // Whether the process that the record names as owner still has its lease.
-  bool NodeAlive(const PartitionRecord &owner) const;
+  bool IsOwnerAlive(const PartitionRecord &owner) const;
   // Whether every live controller has this version or a later one. A controller
   // that has ended or cannot reach the state service loses its lease and is
   // not taken into account.
@@ -106,7 +106,7 @@
   const MachineType *FindType(const std::string &name) const;
   const std::optional<Versioned<DrainRecord>> &drain() const { return drain_; }
   // Whether the machine is being scaled in.
-  bool Draining(const std::string &machine) const {
+  bool IsDraining(const std::string &machine) const {
     return draining_.contains(machine);
   }
   const std::optional<Versioned<SizingRecord>> &sizing() const {
--- a/src/core/state/state_watcher.cc
+++ b/src/core/state/state_watcher.cc
@@ -12,7 +12,7 @@
   return requested || now - read_started_ >= kIdleInterval;
 }
 
-void StateWatcher::Step() {
+void StateWatcher::RunDueWork() {
   SteadyTime now = outbox_.now().steady;
   if (!ReadDue(now) || !request_bucket_.Take(now, 1)) return;
   read_in_progress_ = true;
--- a/src/core/state/state_watcher.h
+++ b/src/core/state/state_watcher.h
@@ -39,7 +39,7 @@
 
   // Starts a read if one is due, none is in progress and the request bucket has
   // a token. To be called once per batch of commands.
-  void Step();
+  void RunDueWork();
 
   // Calls `waiter` once, when the next read that starts after this call has
   // ended. If that read succeeds, it shows everything that was stored before
@@ -59,7 +59,7 @@
   // How long ago the last successful read began.
   Duration Age() const { return outbox_.now().steady - current_as_of_; }
   // Whether the cache is recent enough to act on.
-  bool Fresh() const { return loaded_ && Age() < kMaxFreshAge; }
+  bool IsFresh() const { return loaded_ && Age() < kMaxFreshAge; }
 
  private:
   // The cache is recent enough to act on while its age is below this.
--- a/src/io/runtime.cc
+++ b/src/io/runtime.cc
@@ -51,7 +51,7 @@
 Runtime::Runtime(const Deployment& deployment, const Tuning& tuning)
     : base_(event_base_new()),
       controller_(deployment, tuning, NewIncarnation()),
-      http_server_(base_.get(), ParseAddress(deployment.front),
+      http_server_(base_.get(), ParseAddress(deployment.listen_address),
                    MaxConnections(deployment),
                    [this](Command command) { Enqueue(std::move(command)); }),
       peers_(
@@ -60,7 +60,7 @@
           [this](PeerHeartbeat heartbeat) { Enqueue(std::move(heartbeat)); }),
       state_client_(base_.get(), ParseAddress(deployment.state_address),
                     kStateConnections),
-      cloud_client_(base_.get(), ParseAddress(deployment.cloud),
+      cloud_client_(base_.get(), ParseAddress(deployment.cloud_address),
                     kCloudConnections),
       max_worker_clients_(deployment.sockets / kWorkerSocketDivisor),
       batch_ready_(event_new(base_.get(), -1, 0, OnBatchReady, this)),
@@ -68,7 +68,7 @@
   timeval tv = ToTimeval(kTickInterval);
   event_add(tick_timer_.get(), &tv);
   spdlog::info("event=started label={} front={} peers={}", deployment.label,
-               deployment.front, deployment.peers.size());
+               deployment.listen_address, deployment.peers.size());
 }
 
 void Runtime::Run() { event_base_dispatch(base_.get()); }
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -133,7 +133,7 @@
   spec.estimate = ReadSeconds(in, "expected_s");
   spec.checkpoint = ReadSeconds(in, "waypoint_s");
   spec.save = ReadSeconds(in, "stow_s");
-  if (spec.shape == Shape::kGang && spec.tasks > kMaxInChunkVersion1) {
+  if (spec.shape == Shape::kGang && spec.tasks > kMaxBoundPerChunkVersion1) {
     Fields::Fail("legs", "is too large for a gang");
   }
   if (in.Find("due_s") != nullptr) spec.deadline = ReadSeconds(in, "due_s");
@@ -278,7 +278,7 @@
   if (in.Find("failed") != nullptr) {
     const auto& list = in.List("failed");
     for (uint32_t i = 0; i < list.size; ++i) {
-      reply.failed.push_back(Fields::AsText(list.ptr[i], "failed"));
+      reply.failed_keys.push_back(Fields::AsText(list.ptr[i], "failed"));
     }
   }
   reply.no_lease =
--- a/src/wire/records.cc
+++ b/src/wire/records.cc
@@ -233,7 +233,8 @@
       Fields::Fail(kKey, "refers to a machine that is not in the table");
     uint32_t attempt = AsNumber(group.ptr[1], kKey);
     TaskSet tasks = ReadRanges(group, 2, kKey);
-    if (record.assigned.size() + boost::icl::cardinality(tasks) > kMaxInChunk) {
+    if (record.assigned.size() + boost::icl::cardinality(tasks) >
+        kMaxBoundPerChunk) {
       Fields::Fail(kKey, "assigns too many tasks");
     }
     for (const auto& range : tasks) {
--- a/tests/answer_bound_test.cc
+++ b/tests/answer_bound_test.cc
@@ -23,7 +23,7 @@
   deployment.label = "node-0";
   deployment.peers = {{"node-1", ""}, {"node-2", ""}};
   deployment.worker_lease = Seconds(26.5);
-  deployment.cancel = Seconds(46.5);
+  deployment.cancel_time_limit = Seconds(46.5);
   deployment.heartbeat_interval = Seconds(5);
   return deployment;
 }
@@ -69,7 +69,7 @@
   // once.
   void ReadState() {
     Advance(Millis(500));
-    state_watcher_.Step();
+    state_watcher_.RunDueWork();
     for (const Effect& effect : outbox_.TakeEffects()) {
       const auto* call = std::get_if<StateCall>(&effect);
       if (call == nullptr) continue;
@@ -102,7 +102,7 @@
   // `redirect_` if the worker is redirected.
   int StatusOfHeartbeat(uint64_t seq, std::vector<ReportedTask> tasks = {}) {
     partition_->OnWorkerHeartbeat(seq, HeartbeatOf(seq, std::move(tasks)));
-    partition_->Step();
+    partition_->RunDueWork();
     effects_ = outbox_.TakeEffects();
     for (const Effect& effect : effects_) {
       const auto* reply = std::get_if<Reply>(&effect);
@@ -268,8 +268,8 @@
   auto next_write = [this]() -> std::optional<StateCall> {
     for (int step = 0; step < 100; ++step) {
       Advance(Millis(50));
-      partition_->Step();
-      state_watcher_.Step();
+      partition_->RunDueWork();
+      state_watcher_.RunDueWork();
       std::optional<StateCall> found;
       for (const Effect& effect : outbox_.TakeEffects()) {
         const auto* call = std::get_if<StateCall>(&effect);
@@ -381,7 +381,7 @@
   // Lets the partition run after `by`, and returns the calls that stop tasks.
   std::vector<WorkerCall> StopCallsAfter(Duration by) {
     Advance(by);
-    partition_->Step();
+    partition_->RunDueWork();
     effects_ = outbox_.TakeEffects();
     return StopCalls();
   }
@@ -443,7 +443,7 @@
   refused.status = 503;
   outbox_.Handle(refused);
   Advance(Millis(500));
-  partition_->Step();
+  partition_->RunDueWork();
   Advance(Millis(100));
   ASSERT_EQ(StatusOfHeartbeat(3), 200);
   EXPECT_EQ(StartsSent(), 1u);
--- a/tests/autoscaler_test.cc
+++ b/tests/autoscaler_test.cc
@@ -230,7 +230,7 @@
   AnswerState(503);
   EXPECT_EQ(status, 503);
   EXPECT_TRUE(writer_.write_pending());
-  watcher_.Step();
+  watcher_.RunDueWork();
   CollectCalls();
   AnswerState(200);
   EXPECT_FALSE(writer_.write_pending());
@@ -604,7 +604,8 @@
 class SizingHistoryTest : public AutoscalerComponentTest {
  protected:
   uint64_t Period() const {
-    return static_cast<uint64_t>(now_.wall.time_since_epoch() / tuning_.period);
+    return static_cast<uint64_t>(now_.wall.time_since_epoch() /
+                                 tuning_.sizing_period);
   }
   void Report(uint32_t partition, double cpus) {
     LoadRecord load;
@@ -640,7 +641,7 @@
   history_.RecordPeriod(decision_, 2);
   CollectCalls();
   EXPECT_THAT(state_calls_, IsEmpty());
-  Advance(tuning_.period / 3);
+  Advance(tuning_.sizing_period / 3);
   history_.RecordPeriod(decision_, 2);
   CollectCalls();
   EXPECT_THAT(state_calls_, SizeIs(1));
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -217,7 +217,7 @@
   ChunkRecord chunk;
   chunk.epoch = random() % 3;
   chunk.next_attempt = 1 + random() % 9;
-  for (uint32_t task = 0; task < kMaxInChunkVersion1; ++task) {
+  for (uint32_t task = 0; task < kMaxBoundPerChunkVersion1; ++task) {
     if (random() % 3 == 0) AddTask(chunk.done, task);
     if (random() % 3 == 0) {
       chunk.assigned.push_back({task, static_cast<uint32_t>(random() % 3),
@@ -284,7 +284,7 @@
 // smallest value limit of the state service (8 KiB in the deployments so far).
 TEST(Records, LargestChunkFitsASegment) {
   ChunkRecord chunk;
-  for (uint32_t task = 0; task < kMaxInChunkVersion1; ++task) {
+  for (uint32_t task = 0; task < kMaxBoundPerChunkVersion1; ++task) {
     chunk.assigned.push_back({99000 + task, 1000000 + task,
                               "m-1234" + std::to_string(100 + task),
                               "a-rather-long-zone"});
--- a/tests/core_environment.h
+++ b/tests/core_environment.h
@@ -22,11 +22,11 @@
         requests(kPlenty, kPlenty),
         writes(kPlenty, kPlenty),
         cloud(kPlenty, kPlenty),
-        state_watcher(tuning, out, state_cache, requests),
+        state_watcher(tuning, outbox, state_cache, requests),
         context{
             deployment,
             tuning,
-            out,
+            outbox,
             state_cache,
             state_watcher,
             requests,
@@ -42,19 +42,19 @@
 
   void SetNow(Duration since_start) {
     now = {SteadyTime(since_start), WallTime(since_start)};
-    out.set_now(now);
+    outbox.set_now(now);
   }
   void Advance(Duration by) { SetNow(now.steady.time_since_epoch() + by); }
 
   // Answers the first call to the state service among the effects, and returns
   // its request.
   StateRequest AnswerState(StateReply reply) {
-    for (const Effect& effect : out.TakeEffects()) {
+    for (const Effect& effect : outbox.TakeEffects()) {
       const auto* call = std::get_if<StateCall>(&effect);
       if (call == nullptr) continue;
       reply.call = call->call;
       StateRequest request = call->request;
-      out.Handle(reply);
+      outbox.Handle(reply);
       return request;
     }
     ADD_FAILURE() << "no call to the state service";
@@ -63,7 +63,7 @@
   // One read of the watcher's that succeeds at once.
   void Read(uint64_t revision = 100) {
     Advance(Millis(500));
-    state_watcher.Step();
+    state_watcher.RunDueWork();
     StateReply reply;
     reply.status = 200;
     reply.revision = revision;
@@ -72,7 +72,7 @@
 
   Deployment deployment;
   Tuning tuning;
-  Outbox out;
+  Outbox outbox;
   StateCache state_cache;
   TokenBucket requests;
   TokenBucket writes;
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -332,7 +332,7 @@
   for (int step = 0; step < 200 && !state_watcher.loaded(); ++step) {
     now.steady += Millis(50);
     outbox.set_now(now);
-    state_watcher.Step();
+    state_watcher.RunDueWork();
     std::vector<Effect> effects = outbox.TakeEffects();
     while (!effects.empty()) {
       const auto* call = std::get_if<StateCall>(&effects.front());
@@ -734,7 +734,7 @@
   d.objectives.push_back({"wait", "x", Seconds(5), 0.9});
   victims = ChooseVictims(state_cache, d, OrderJobs(state_cache, WallTime(), d),
                           WallTime());
-  EXPECT_EQ(victims.begin()->second, StopKind::kAtOnce);
+  EXPECT_EQ(victims.begin()->second, StopKind::kWithoutSaving);
 }
 
 // A job that comes first because it has waited long must not be stopped for one
@@ -815,23 +815,23 @@
   machine.type = "g8";
   machine.spot = true;
   JobSpec spec = MakeSpec("run-1", 5, 1);
-  EXPECT_TRUE(Allowed(spec, machine, {}));
+  EXPECT_TRUE(IsPlacementAllowed(spec, machine, {}));
   spec.spot = false;
-  EXPECT_FALSE(Allowed(spec, machine, {}));
+  EXPECT_FALSE(IsPlacementAllowed(spec, machine, {}));
   spec.spot = true;
   spec.zone = "b";
-  EXPECT_FALSE(Allowed(spec, machine, {}));
+  EXPECT_FALSE(IsPlacementAllowed(spec, machine, {}));
   spec.zone = "";
   spec.types = std::vector<std::string>{"g9"};
-  EXPECT_FALSE(Allowed(spec, machine, {}));
+  EXPECT_FALSE(IsPlacementAllowed(spec, machine, {}));
   spec.types.reset();
   spec.one_zone = true;
-  EXPECT_FALSE(Allowed(spec, machine, ZoneUse{{{"b", 1}}, 1}));
-  EXPECT_TRUE(Allowed(spec, machine, ZoneUse{{{"a", 1}}, 1}));
+  EXPECT_FALSE(IsPlacementAllowed(spec, machine, ZoneUse{{{"b", 1}}, 1}));
+  EXPECT_TRUE(IsPlacementAllowed(spec, machine, ZoneUse{{{"a", 1}}, 1}));
   spec.one_zone = false;
   spec.spread = true;  // at most 3 of 5 in one zone
-  EXPECT_TRUE(Allowed(spec, machine, ZoneUse{{{"a", 2}}, 2}));
-  EXPECT_FALSE(Allowed(spec, machine, ZoneUse{{{"a", 3}}, 3}));
+  EXPECT_TRUE(IsPlacementAllowed(spec, machine, ZoneUse{{{"a", 2}}, 2}));
+  EXPECT_FALSE(IsPlacementAllowed(spec, machine, ZoneUse{{{"a", 3}}, 3}));
 }
 
 // A start is sent in the answer to a heartbeat. If a task is urgent, the time
@@ -893,9 +893,9 @@
             std::pair(2u, int64_t{0}));
   large.spot = true;
   table.Reserve(1, large, 2);
-  EXPECT_EQ(table.Tasks(1, large, now), 0);
+  EXPECT_EQ(table.TaskCapacity(1, large, now), 0);
   EXPECT_EQ(table.NextWithCapacity(small, 1, now).first, 0u);
-  EXPECT_EQ(table.Tasks(0, small, now + Seconds(3)), 0);
+  EXPECT_EQ(table.TaskCapacity(0, small, now + Seconds(3)), 0);
 }
 
 // If such a job were accepted, its record could never be stored.
@@ -906,11 +906,11 @@
   types.types.push_back({.name = "g8"});
   types.types[0].capacity = Resources::FromDecimals(8, 0, 32);
   JobSpec spec = MakeSpec("run-1", 4, 1);
-  EXPECT_FALSE(WhyImpossible(spec, d, types, kValueBytes));
+  EXPECT_FALSE(FindRejection(spec, d, types, kValueBytes));
   spec.types = std::vector<std::string>(400, "a-long-type-name");
   spec.types->push_back("g8");
   std::optional<Rejection> rejection =
-      WhyImpossible(spec, d, types, kValueBytes);
+      FindRejection(spec, d, types, kValueBytes);
   ASSERT_TRUE(rejection);
   EXPECT_EQ(rejection->reason, RejectionReason::kDescriptionTooLong);
   EXPECT_EQ(rejection->message,
@@ -920,7 +920,7 @@
 TEST(Resources, SumsOfDecimalsStayExact) {
   Resources resources = Resources::FromDecimals(0.1, 0, 2.7);
   Resources capacity = Resources::FromDecimals(1, 0, 27);
-  EXPECT_EQ(resources.CountIn(capacity, 100), 10);
+  EXPECT_EQ(resources.CountFittingIn(capacity, 100), 10);
   Resources used;
   for (int i = 0; i < 10; ++i) used += resources;
   EXPECT_EQ(used, capacity);
--- a/tests/free_capacity_test.cc
+++ b/tests/free_capacity_test.cc
@@ -29,8 +29,8 @@
 TEST(FreeCapacity, SmallRemaindersHoldNoLargeTasks) {
   CapacityTable table(1);
   table.Update(0, MachinesOf(1, 8), kNow);
-  EXPECT_EQ(table.Tasks(0, JobOfCpus(1), kNow), 8);
-  EXPECT_EQ(table.Tasks(0, JobOfCpus(4), kNow), 0);
+  EXPECT_EQ(table.TaskCapacity(0, JobOfCpus(1), kNow), 8);
+  EXPECT_EQ(table.TaskCapacity(0, JobOfCpus(4), kNow), 0);
 }
 
 TEST(FreeCapacity, OverbookedMachineCountsForNothing) {
@@ -42,26 +42,26 @@
 TEST(CapacityTable, SpotMachinesAreForSpotJobsOnly) {
   CapacityTable table(1);
   table.Update(0, MachinesOf(4, 2, true), kNow);
-  EXPECT_EQ(table.Tasks(0, JobOfCpus(4), kNow), 0);
-  EXPECT_EQ(table.Tasks(0, JobOfCpus(4, true), kNow), 2);
+  EXPECT_EQ(table.TaskCapacity(0, JobOfCpus(4), kNow), 0);
+  EXPECT_EQ(table.TaskCapacity(0, JobOfCpus(4, true), kNow), 2);
 }
 
 TEST(CapacityTable, OldAnnouncementsAndUnknownPartitionsCountAsFull) {
   CapacityTable table(1);
   table.Update(0, MachinesOf(4, 2), kNow);
   table.Update(1, MachinesOf(4, 2), kNow);
-  EXPECT_EQ(table.Tasks(0, JobOfCpus(4), kNow + Millis(2500)), 2);
-  EXPECT_EQ(table.Tasks(0, JobOfCpus(4), kNow + Millis(2501)), 0);
-  EXPECT_EQ(table.Tasks(1, JobOfCpus(4), kNow), 0);
+  EXPECT_EQ(table.TaskCapacity(0, JobOfCpus(4), kNow + Millis(2500)), 2);
+  EXPECT_EQ(table.TaskCapacity(0, JobOfCpus(4), kNow + Millis(2501)), 0);
+  EXPECT_EQ(table.TaskCapacity(1, JobOfCpus(4), kNow), 0);
 }
 
 TEST(CapacityTable, ReservationsHoldUntilTheNextAnnouncement) {
   CapacityTable table(1);
   table.Update(0, MachinesOf(4, 2), kNow);
   table.Reserve(0, JobOfCpus(4), 3);
-  EXPECT_EQ(table.Tasks(0, JobOfCpus(4), kNow), 0);
+  EXPECT_EQ(table.TaskCapacity(0, JobOfCpus(4), kNow), 0);
   table.Update(0, MachinesOf(4, 2), kNow);
-  EXPECT_EQ(table.Tasks(0, JobOfCpus(4), kNow), 2);
+  EXPECT_EQ(table.TaskCapacity(0, JobOfCpus(4), kNow), 2);
 }
 
 TEST(CapacityTable, MostAndNextFreeCapacity) {
--- a/tests/jobs_test.cc
+++ b/tests/jobs_test.cc
@@ -60,7 +60,7 @@
  protected:
   JobsTest() {
     Advance(Seconds(100));
-    watcher_.Step();
+    watcher_.RunDueWork();
     AnswerState(http_status::kOk);  // the list
     Read(http_status::kOk);
     Apply(keys::kTypes, OneType());
@@ -100,7 +100,7 @@
   // Lets the watcher read the state service once and answers with `changes`.
   void Read(int status, std::vector<Change> changes = {}) {
     Advance(Millis(300));
-    watcher_.Step();
+    watcher_.RunDueWork();
     AnswerState(status, std::move(changes));
   }
 
@@ -189,7 +189,7 @@
        "a task fits no machine type that the job allows"}};
   for (const Case& c : cases) {
     std::optional<Rejection> rejection =
-        WhyImpossible(c.spec, TestDeployment(), OneType(), kValueBytes);
+        FindRejection(c.spec, TestDeployment(), OneType(), kValueBytes);
     ASSERT_TRUE(rejection) << c.message;
     EXPECT_EQ(rejection->reason, c.reason) << c.message;
     EXPECT_EQ(rejection->message, c.message);
@@ -198,7 +198,7 @@
 
 // The tasks of an array can run one after another within the team's limit.
 TEST(WhyImpossible, AcceptsAnArrayThatExceedsTheTeamsLimitAtOnce) {
-  EXPECT_FALSE(WhyImpossible(ArrayJob(kJob, 100, 4), TestDeployment(),
+  EXPECT_FALSE(FindRejection(ArrayJob(kJob, 100, 4), TestDeployment(),
                              OneType(), kValueBytes));
 }
 
@@ -229,7 +229,7 @@
 
 TEST_F(JobQueriesTest, DoesNotUseAReadThatBeganBeforeTheQuery) {
   Advance(Millis(300));
-  watcher_.Step();
+  watcher_.RunDueWork();
   queries_.Answer(1, kJob, TaskCounts::kInclude);
   queries_.RunDueWork();
   AnswerState(http_status::kOk);
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -43,12 +43,12 @@
         state_watcher_(tuning_, outbox_, state_cache_, requests_),
         context_{.deployment = deployment_,
                  .tuning = tuning_,
-                 .out = outbox_,
+                 .outbox = outbox_,
                  .state_cache = state_cache_,
                  .state_watcher = state_watcher_,
-                 .requests = requests_,
-                 .writes = writes_,
-                 .cloud = cloud_,
+                 .state_request_bucket = requests_,
+                 .state_write_bucket = writes_,
+                 .cloud_call_bucket = cloud_,
                  .incarnation = kIncarnation,
                  .partition_count = kPartitionCount,
                  .capacity_table = CapacityTable(kPartitionCount),
@@ -69,7 +69,7 @@
   // such reads load the state.
   void ReadState() {
     Advance(Millis(500));
-    state_watcher_.Step();
+    state_watcher_.RunDueWork();
     std::vector<StateCall> calls = TakeAll<StateCall>();
     ASSERT_EQ(calls.size(), 1u);
     outbox_.Handle(StateReply{.call = calls[0].call, .status = 200});
@@ -284,7 +284,7 @@
   EXPECT_EQ(heartbeat->free, (std::map<uint32_t, FreeCapacity>{{1, free}}));
   JobSpec spec;
   spec.resources.cpus = FreeCapacity::SlotCpus(0);
-  EXPECT_EQ(context_.capacity_table.Tasks(1, spec, now_.steady), 4);
+  EXPECT_EQ(context_.capacity_table.TaskCapacity(1, spec, now_.steady), 4);
 }
 
 TEST_F(PeersTest, EchoesLivePeersAndSendsCancellationsThatOneOfThemLacks) {
@@ -574,7 +574,7 @@
   // Runs the component once. Returns the change of the owner of `partition`
   // that it sends, or null if it sends none.
   std::optional<Transaction> RunAndTakeOwnerChange(uint32_t partition) {
-    ownership_.Step();
+    ownership_.RunDueWork();
     for (StateCall& call : TakeAll<StateCall>()) {
       auto* txn = std::get_if<Transaction>(&call.request);
       if (txn == nullptr || txn->writes[0].key != keys::Partition(partition)) {
--- a/tests/partition_units_test.cc
+++ b/tests/partition_units_test.cc
@@ -36,7 +36,7 @@
   Deployment deployment;
   deployment.label = "node-0";
   deployment.worker_lease = Seconds(10);
-  deployment.cancel = Seconds(30);
+  deployment.cancel_time_limit = Seconds(30);
   deployment.heartbeat_interval = Seconds(2);
   deployment.zones = {"a", "b"};
   Team team;
@@ -67,7 +67,7 @@
         quota_(context(), 0),
         entitlement_(context(), term_),
         responder_(context(), term_, entitlement_, machines_),
-        faults_(environment_.out, environment_.state_cache, machines_) {
+        faults_(environment_.outbox, environment_.state_cache, machines_) {
     environment_.Read();  // the list of all keys
     environment_.Read();  // the changes since
     term_.since = context().now();
@@ -107,7 +107,7 @@
     machine.capacity = Resources::FromDecimals(4, 0, 16);
     machine.fencing_token_seen = true;
     machine.awaits_second_heartbeat = false;
-    machine.heard = machine.last_answer = context().now();
+    machine.last_heartbeat_time = machine.last_answer = context().now();
     return machine;
   }
   // Binds the first attempt of a task of kJob, without its resources.
@@ -133,7 +133,7 @@
   // The status of the only reply among the effects; 0 if there is none.
   int ReplyStatus() {
     int status = 0;
-    for (const Effect& effect : environment_.out.TakeEffects()) {
+    for (const Effect& effect : environment_.outbox.TakeEffects()) {
       const auto* reply = std::get_if<Reply>(&effect);
       if (reply == nullptr) continue;
       EXPECT_EQ(status, 0) << "more than one reply";
@@ -223,7 +223,7 @@
   HeartbeatHandler handler(context(), term_, machines_, entitlement_,
                            responder_, faults_);
   entitlement_.OnPeerClaim("node-1", kFencingToken + 1);
-  environment_.out.TakeEffects();
+  environment_.outbox.TakeEffects();
   EXPECT_FALSE(handler.Handle(1, HeartbeatOf("m-1", 1, 1)));
   EXPECT_EQ(ReplyStatus(), 421);
 }
@@ -232,9 +232,9 @@
   HeartbeatHandler handler(context(), term_, machines_, entitlement_,
                            responder_, faults_);
   handler.Handle(1, HeartbeatOf("m-1", 1, 1));
-  EXPECT_FALSE(machines_.Find("m-1")->TakesTasks(context().now()));
+  EXPECT_FALSE(machines_.Find("m-1")->AcceptsTasks(context().now()));
   handler.Handle(2, HeartbeatOf("m-1", 1, 2));
-  EXPECT_TRUE(machines_.Find("m-1")->TakesTasks(context().now()));
+  EXPECT_TRUE(machines_.Find("m-1")->AcceptsTasks(context().now()));
 }
 
 TEST_F(PartitionUnit, AnswersCarryStartsOfBoundAttemptsOnce) {
@@ -286,7 +286,7 @@
   for (const char* name : {"m-2", "m-3"}) AddMachine(name);
   health.DeleteMachines();
   std::optional<CallId> call;
-  for (const Effect& effect : environment_.out.TakeEffects()) {
+  for (const Effect& effect : environment_.outbox.TakeEffects()) {
     if (const auto* cloud = std::get_if<CloudCall>(&effect)) {
       call = cloud->call;
       const auto& request = std::get<DeleteMachines>(cloud->request);
@@ -299,7 +299,7 @@
   CloudReply reply;
   reply.call = *call;
   reply.status = 200;
-  environment_.out.Handle(reply);
+  environment_.outbox.Handle(reply);
   EXPECT_TRUE(machines_.WasDeleted("m-1"));
   EXPECT_TRUE(MachineHealth::CanRemove(*machines_.Find("m-1")));
 }
@@ -364,14 +364,14 @@
       {kJob, 1, 1, TaskState::kRunning, ExitCause::kNone}};
   AttemptReconciler reconciler(context(), term_, machines_, quota_);
   PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
-  reconciler.AddEnds(pending);
+  reconciler.AddEndedAttempts(pending);
   ASSERT_EQ(pending.chunks.size(), 1u);
   const ChunkRecord& record = pending.chunks.begin()->second.record;
   EXPECT_TRUE(HasTask(record.done, 0));
   ASSERT_EQ(record.assigned.size(), 1u);
   EXPECT_EQ(record.assigned[0].task, 1u);
-  EXPECT_TRUE((machine.bound[{kJob, 0}].ending));
-  EXPECT_FALSE((machine.bound[{kJob, 1}].ending));
+  EXPECT_TRUE((machine.bound[{kJob, 0}].end_pending));
+  EXPECT_FALSE((machine.bound[{kJob, 1}].end_pending));
   ASSERT_EQ(pending.reports.size(), 1u);
   EXPECT_EQ(pending.reports[0].kind, AttemptReport::Kind::kSuccess);
   EXPECT_EQ(machine.planned.resources, Resources{} - SmallJob().resources);
@@ -386,11 +386,11 @@
       {kJob, 0, 1, TaskState::kExited, ExitCause::kDone}};
   AttemptReconciler reconciler(context(), term_, machines_, quota_);
   PendingTransaction pending({1, 4, TransactionBudget::kUnlimited});
-  reconciler.AddEnds(pending);
+  reconciler.AddEndedAttempts(pending);
   reconciler.AddFinishedJobs(pending);
   EXPECT_TRUE(pending.done_jobs.contains(kJob));
   PendingTransaction without_puts({0, 4, TransactionBudget::kUnlimited});
-  reconciler.AddEnds(without_puts);
+  reconciler.AddEndedAttempts(without_puts);
   reconciler.AddFinishedJobs(without_puts);
   EXPECT_TRUE(without_puts.done_jobs.empty());
 }
@@ -402,7 +402,7 @@
   TaskStarter starter(context(), term_, machines_, quota_, faults_.tracker());
   PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
   starter.AddStarts(pending, {&StoredJob()});
-  EXPECT_EQ(pending.starts, 4u);
+  EXPECT_EQ(pending.start_count, 4u);
   ASSERT_EQ(pending.chunks.size(), 1u);
   for (const Assignment& assignment :
        pending.chunks.begin()->second.record.assigned) {
@@ -413,7 +413,7 @@
   machines_.ForgetPlanned();
   PendingTransaction no_jobs({4, 0, TransactionBudget::kUnlimited});
   starter.AddStarts(no_jobs, {&StoredJob()});
-  EXPECT_EQ(no_jobs.starts, 0u);
+  EXPECT_EQ(no_jobs.start_count, 0u);
 }
 
 TEST_F(PartitionUnit, NothingStartsForAJobThatPeersCallCancelled) {
@@ -434,10 +434,10 @@
   TaskStarter starter(context(), term_, machines_, quota_, faults_.tracker());
   PendingTransaction pending({4, 4, TransactionBudget::kUnlimited});
   starter.AddStarts(pending, {&StoredJob()});
-  EXPECT_EQ(pending.starts, 0u);
+  EXPECT_EQ(pending.start_count, 0u);
   AddMachine("m-2").capacity = Resources::FromDecimals(1, 0, 16);
   starter.AddStarts(pending, {&StoredJob()});
-  EXPECT_EQ(pending.starts, 4u);
+  EXPECT_EQ(pending.start_count, 4u);
 }
 
 TEST_F(TwoPartitionsUnit, WaitingChunksGoWhereThereIsCapacity) {
@@ -499,7 +499,7 @@
   PendingTransaction again({4, 4, TransactionBudget::kUnlimited});
   reporter.AddLoad(again);
   EXPECT_FALSE(again.load) << "this period's load is stored";
-  environment_.Advance(environment_.tuning.period);
+  environment_.Advance(environment_.tuning.sizing_period);
   reporter.AddLoad(again);
   EXPECT_TRUE(again.load);
 }
@@ -542,7 +542,7 @@
     StateReply reply;
     reply.status = status;
     reply.revision = 200;
-    reply.failed = std::move(failed);
+    reply.failed_keys = std::move(failed);
     environment_.AnswerState(reply);
   }
 
--- a/tests/sim/cluster_simulation.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -40,7 +40,7 @@
   d.list_lag = Seconds(2);
   d.heartbeat_interval = Seconds(config.heartbeat_s);
   d.worker_lease = Seconds(config.lease_s);
-  d.cancel = Seconds(config.cancel_s);
+  d.cancel_time_limit = Seconds(config.cancel_s);
   d.zones = {"a", "b"};
   for (const char* name : {"red", "blue"}) {
     Team team;
@@ -700,7 +700,7 @@
               fmt::format("{} on {} and {}", task, machine, *where.begin()));
   }
   where.insert(machine);
-  if (job.cancelled && now_ > *job.cancelled + deployment_.cancel) {
+  if (job.cancelled && now_ > *job.cancelled + deployment_.cancel_time_limit) {
     Violation("ran_cancelled", task + " starts");
   }
   // Quota and places, over all that is on a machine at this moment.
@@ -732,7 +732,7 @@
   next_cancel_check_ = now_ + Millis(20);
   for (auto& [task, on] : task_on_) {
     if (on.machines.empty() || !on.job->cancelled) continue;
-    if (now_ > *on.job->cancelled + deployment_.cancel) {
+    if (now_ > *on.job->cancelled + deployment_.cancel_time_limit) {
       Violation("ran_cancelled", task + " on " + *on.machines.begin());
       on.machines.clear();  // said once
       return;
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -235,7 +235,7 @@
     }
     to.report = ToOld(from.heartbeat_interval);
     to.worker_lease = ToOld(from.worker_lease);
-    to.cancel = ToOld(from.cancel);
+    to.cancel = ToOld(from.cancel_time_limit);
     to.state_rps = from.state.rps;
     to.state_writes = from.state.write_rps;
     to.value_kb = from.state.value_kb;
--- a/tests/standing_jobs_test.cc
+++ b/tests/standing_jobs_test.cc
@@ -124,11 +124,11 @@
   TypesRecord types;
   types.types.push_back({.name = "g8"});
   types.types[0].capacity = Resources::FromDecimals(8, 0, 32);
-  EXPECT_FALSE(WhyImpossible(ServiceSpec(4, 2), DeploymentWithTeamLimit(8),
+  EXPECT_FALSE(FindRejection(ServiceSpec(4, 2), DeploymentWithTeamLimit(8),
                              types, 8192));
-  EXPECT_TRUE(WhyImpossible(ServiceSpec(5, 2), DeploymentWithTeamLimit(8),
+  EXPECT_TRUE(FindRejection(ServiceSpec(5, 2), DeploymentWithTeamLimit(8),
                             types, 8192));
-  EXPECT_TRUE(WhyImpossible(ServiceSpec(1, 9), DeploymentWithTeamLimit(0),
+  EXPECT_TRUE(FindRejection(ServiceSpec(1, 9), DeploymentWithTeamLimit(0),
                             types, 8192));
 }
 
@@ -174,7 +174,7 @@
   const Job& job = *state_cache.FindJob("run-1");
   EXPECT_EQ(job.done, 0u);
   EXPECT_EQ(job.waiting(), 3u);
-  EXPECT_EQ(Describe(job, true).status, JobAnswer::Status::kQueued);
+  EXPECT_EQ(MakeJobAnswer(job, true).status, JobAnswer::Status::kQueued);
 }
 
 // To make capacity for a replica, tasks of lower priority are stopped: those
--- a/tests/state_cache_test.cc
+++ b/tests/state_cache_test.cc
@@ -49,8 +49,9 @@
 // Counts how many chunks are added, changed and removed.
 class CountingListener : public ChunkListener {
  public:
-  void OnChunk(const Job& /*job*/, uint32_t /*chunk*/, const Job::Chunk* before,
-               const Job::Chunk* after) override {
+  void OnChunkChanged(const Job& /*job*/, uint32_t /*chunk*/,
+                      const Job::Chunk* before,
+                      const Job::Chunk* after) override {
     if (before == nullptr) ++arrived;
     if (after == nullptr) ++removed;
     if (before != nullptr && after != nullptr) ++changed;
@@ -268,10 +269,10 @@
   StateCache cache;
   cache.Apply(Put(keys::kDrain, DrainRecord{{"m-1", "m-2"}}, 3));
   cache.Apply(Put(keys::kDrain, DrainRecord{{"m-2"}}, 4));
-  EXPECT_FALSE(cache.Draining("m-1"));
-  EXPECT_TRUE(cache.Draining("m-2"));
+  EXPECT_FALSE(cache.IsDraining("m-1"));
+  EXPECT_TRUE(cache.IsDraining("m-2"));
   cache.Apply(Deletion(keys::kDrain, 5));
-  EXPECT_FALSE(cache.Draining("m-2"));
+  EXPECT_FALSE(cache.IsDraining("m-2"));
 }
 
 TEST(StateCache, ReplacementIsRemovalAndArrivalForListeners) {
--- a/tests/state_watcher_test.cc
+++ b/tests/state_watcher_test.cc
@@ -28,7 +28,7 @@
 
   // Runs the watcher once and returns the read that it starts, if any.
   std::optional<StateCall> RunAndTakeRead() {
-    watcher_.Step();
+    watcher_.RunDueWork();
     for (const Effect& effect : outbox_.TakeEffects()) {
       if (const auto* call = std::get_if<StateCall>(&effect)) return *call;
     }
@@ -72,13 +72,13 @@
   EXPECT_TRUE(std::holds_alternative<ListRead>(list.request));
   Answer(list, 200, 100);
   EXPECT_TRUE(watcher_.loaded());
-  EXPECT_FALSE(watcher_.Fresh());
+  EXPECT_FALSE(watcher_.IsFresh());
   StateCall watch = NextRead();
   EXPECT_EQ(std::get<WatchRead>(watch.request).from, 100u);
   SteadyTime begun = now_.steady;
   AdvanceTime(Millis(70));
   Answer(watch, 200, 105);
-  EXPECT_TRUE(watcher_.Fresh());
+  EXPECT_TRUE(watcher_.IsFresh());
   EXPECT_EQ(watcher_.current_as_of(), begun);
   EXPECT_EQ(cache_.revision(), 105u);
 }
@@ -87,7 +87,7 @@
   Load();
   Answer(NextRead(), 410);
   EXPECT_FALSE(watcher_.loaded());
-  EXPECT_FALSE(watcher_.Fresh());
+  EXPECT_FALSE(watcher_.IsFresh());
   EXPECT_TRUE(std::holds_alternative<ListRead>(NextRead().request));
 }
 
