--- a/tests/fakes/cloud.cc
+++ b/tests/fakes/cloud.cc
@@ -12,9 +12,10 @@
 using wire::Packer;
 
 namespace {
+// Limits on decoded messages.
 constexpr size_t kItems = 10000;
 constexpr size_t kDepth = 16;
-constexpr uint64_t kMaxCreated = 50;
+constexpr uint64_t kMaxCreated = 50;  // machines in one request
 }  // namespace
 
 void Cloud::RecordOutcomes(SteadyTime now) {
@@ -114,7 +115,7 @@
   auto query = ParseQuery(target);
   std::string after = query.contains("from") ? query["from"] : "";
   size_t most = query.contains("most") ? std::stoul(query["most"]) : 500;
-  // What the list describes lies `list_lag` back.
+  // The list describes the state of `list_lag` ago.
   SteadyTime then = now - config_.list_lag;
   const std::map<std::string, Machine>* seen = nullptr;
   for (const auto& [at, machines] : history_) {
--- a/tests/fakes/cloud.h
+++ b/tests/fakes/cloud.h
@@ -1,4 +1,4 @@
-// A fake of the platform's cloud, written from its protocol.
+// A fake of the platform's cloud API, written from its protocol.
 #ifndef PITCHFALL_TESTS_FAKES_CLOUD_H_
 #define PITCHFALL_TESTS_FAKES_CLOUD_H_
 
@@ -15,8 +15,11 @@
 
 namespace pitchfall::fakes {
 
+// Rents machines up to a capacity, deletes them, and lists them with a delay.
+// Time is what the caller passes.
 class Cloud {
  public:
+  // An instance type; prices are per hour.
   struct Type {
     std::string name = "c8";
     double cpus = 8;
@@ -26,37 +29,47 @@
     double boot_s = 5;
     std::vector<std::string> zones = {"a", "b"};
   };
+  // A rented machine. `address` stays empty in this fake.
   struct Machine {
     std::string name;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::string status = "starting";
+    std::string status = "starting";  // or "running", "failed"
     SteadyTime created{};
   };
   struct Config {
     std::vector<Type> types = {Type{}};
-    size_t capacity = 10;  // of each type, zone and kind
+    // The most machines of each type and zone, spot and on-demand machines
+    // counted apart.
+    size_t capacity = 10;
+    // The list describes the machines as they were so long ago.
     Duration list_lag{Millis(2000)};
   };
-  // Called when a machine is rented, and when it is gone by deletion.
+  // `on_create` is called for each machine that is rented, `on_delete` for each
+  // that a delete request has removed. Either may be empty.
   std::function<void(const Machine&)> on_create;
   std::function<void(const std::string&)> on_delete;
 
   explicit Cloud(Config config) : config_(std::move(config)) {}
 
+  // Answers a request of the cloud's HTTP interface; `target` is the path with
+  // its query.
   HttpReply Handle(std::string_view method, const std::string& target,
                    const std::string& body, SteadyTime now);
-  // Machines change outside of the interface.
+  // SetStatus and Remove change a machine without a request, as the provider
+  // itself would. Unknown names are ignored.
   void SetStatus(const std::string& name, const std::string& status,
                  SteadyTime now);
   void Remove(const std::string& name, SteadyTime now);
   const std::map<std::string, Machine>& machines() const { return machines_; }
   const Config& config() const { return config_; }
+  // While true, every request is answered with status 503.
   bool outage = false;
 
  private:
+  // Adds the present machines to the history that the list is read from.
   void RecordOutcomes(SteadyTime now);
   HttpReply CreateInstances(const std::string& body, SteadyTime now);
   HttpReply Delete(const std::string& body, SteadyTime now);
@@ -65,7 +78,9 @@
   Config config_;
   uint64_t last_machine_ = 0;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, std::vector<std::string>> answered_;  // by request
+  // The machines created for each request by its name, so that a repeated
+  // request creates no more.
+  std::map<std::string, std::vector<std::string>> answered_;
   std::deque<std::pair<SteadyTime, std::map<std::string, Machine>>> history_;
 };
 
--- a/tests/fakes/state_service.cc
+++ b/tests/fakes/state_service.cc
@@ -13,8 +13,10 @@
 
 namespace {
 
+// Limits on decoded messages.
 constexpr size_t kItems = 100000;
 constexpr size_t kDepth = 32;
+// Limits of the protocol, in bytes.
 constexpr size_t kMaxTransaction = size_t{64} * 1024;
 constexpr size_t kMaxPage = size_t{512} * 1024;
 
@@ -24,7 +26,8 @@
   return {buffer.data(), buffer.size()};
 }
 
-// As the protocol counts sizes.
+// Returns the size in bytes that the protocol's limits count: about that of the
+// value written as JSON.
 size_t JsonSize(const msgpack::object& value) {
   size_t size = 2;
   switch (value.type) {
@@ -156,7 +159,8 @@
         entry == entries_.end() ? 0 : entry->second.mod_revision;
     if (mod_revision != condition.Count("stamp")) failed.push_back(key);
   }
-  // A put that hangs on an expired lease is refused whatever the conditions.
+  // A put that names an expired lease is refused whether or not the conditions
+  // are met.
   for (uint32_t i = 0; i < writes.size; ++i) {
     Fields write(writes.ptr[i]);
     uint64_t lease = write.CountOr("hold", 0);
--- a/tests/fakes/worker.cc
+++ b/tests/fakes/worker.cc
@@ -12,6 +12,7 @@
 using wire::Packer;
 
 namespace {
+// Limits on decoded messages.
 constexpr size_t kItems = 10000;
 constexpr size_t kDepth = 16;
 
@@ -52,8 +53,8 @@
 }
 
 bool Worker::Advance(SteadyTime now) {
-  // A hanging machine's tasks end with its lease too: it can do nothing else
-  // when it resumes.
+  // The tasks of a hanging machine end with its lease too, as they would have
+  // to when the machine resumes.
   if (now - lease_from_ > config_.lease) EndAgentEpoch(now);
   if (hanging) return false;
   for (auto& [key, task] : tasks_) {
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -1,5 +1,5 @@
-// A fake of a worker, written from the protocol: one machine, its tasks,
-// its lease and the highest fencing token it has seen.
+// A fake of the agent on a worker machine, written from the protocol: its
+// tasks, its lease and the highest fencing token that it has seen.
 #ifndef PITCHFALL_TESTS_FAKES_WORKER_H_
 #define PITCHFALL_TESTS_FAKES_WORKER_H_
 
@@ -15,17 +15,17 @@
 
 namespace pitchfall::fakes {
 
-// What a worker learns of a job's task from its description.
+// How a task behaves on the worker, known from the description of its job.
 struct TaskInfo {
   double cpus = 1;
   double memory_gb = 1;
   std::string image;
-  Duration fetch{0};
-  Duration run{0};
-  Duration save{0};
-  bool saves = false;
-  bool endless = false;  // a replica of a standing job
-  bool broken = false;   // submitted with a mistake: fails wherever it runs
+  Duration fetch{0};     // time to fetch the image if the machine lacks it
+  Duration run{0};       // time from start to completion
+  Duration save{0};      // time to write a checkpoint when stopped
+  bool saves = false;    // writes checkpoints
+  bool endless = false;  // a replica of a service
+  bool broken = false;   // the job is faulty: its tasks fail on any machine
 };
 
 class Worker {
@@ -38,14 +38,21 @@
     bool spot = false;
     double cpus = 8;
     double memory_gb = 32;
+    // Without an accepted answer for so long the worker ends all its tasks.
     Duration lease{Millis(6000)};
-    bool faulty = false;         // fails every task
-    bool ignores_stops = false;  // a fault for tests of the tests
+    bool faulty = false;  // every task fails on it
+    // An injected fault, to show that the checks detect it: no task is stopped.
+    bool ignores_stops = false;
   };
+  // Describes the named task; none if there is no such task.
   using Lookup = std::function<std::optional<TaskInfo>(const std::string&)>;
-  enum class TaskEvent { kLaunched, kOn, kOff, kDone, kLost };
-  // A task has been launched, occupies the machine, does not any more, has
-  // completed, or was lost with the lease (before kOff).
+  enum class TaskEvent {
+    kLaunched,  // its start command was accepted
+    kOn,        // it begins to occupy the machine
+    kOff,       // it no longer occupies the machine
+    kDone,      // it has completed
+    kLost       // the lease has ended while it ran; kOff follows
+  };
   using Observer = std::function<void(const std::string& task, TaskEvent)>;
 
   Worker(Config config, Lookup lookup, Observer observer, SteadyTime now);
@@ -53,31 +60,41 @@
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // Lets time pass. True if something has changed that wants a heartbeat.
+  // Carries out what is due by `now`. Returns true if a change calls for a
+  // heartbeat.
   bool Advance(SteadyTime now);
+  // Returns the next heartbeat's body; each has a higher sequence number.
   std::string MakeHeartbeat(SteadyTime now);
-  // The answer to the heartbeat made at `sent`; false if it had to be dropped.
+  // Processes the answer to the heartbeat that was made at `sent` in
+  // `agent_epoch`, and extends the lease from then. Returns false if the answer
+  // is dropped: the worker hangs, its epoch has changed, or the fencing token
+  // is missing, unreadable or lower than one seen before.
   bool TakeAnswer(const std::string& body, SteadyTime sent,
                   uint64_t agent_epoch, SteadyTime now);
+  // Answers a direct request of a controller.
   HttpReply Handle(std::string_view method, const std::string& path,
                    const std::string& body, SteadyTime now);
 
-  // Replicas that run end by themselves.
+  // Completes all running replicas of services, as if they had ended by
+  // themselves.
   void EndReplicas();
 
   uint64_t agent_epoch() const { return agent_epoch_; }
   uint64_t fencing_token() const { return fencing_token_; }
   const Config& config() const { return config_; }
+  // Time left until the cloud takes the machine back, reported in heartbeats;
+  // none without a notice.
   std::optional<Duration> preemption_notice;
+  // While true, the machine makes no progress and drops all answers.
   bool hanging = false;
 
  private:
   struct Task {
-    std::string state;
-    std::string cause;
+    std::string state;  // as in the protocol
+    std::string cause;  // why it has exited; empty before
     TaskInfo info;
-    SteadyTime next{};  // when its state changes by itself
-    bool saved = false;
+    SteadyTime next{};   // when its state changes without a command
+    bool saved = false;  // a checkpoint was written when it was stopped
   };
   using Key = std::pair<std::string, uint64_t>;  // task, attempt
 
@@ -85,19 +102,20 @@
   void Start(const Key& key, SteadyTime now);
   void Stop(const Key& key, Duration grace, SteadyTime now);
   void Exit(Task& task, const Key& key, const std::string& cause);
+  // Ends all tasks and begins a new agent epoch with a full lease.
   void EndAgentEpoch(SteadyTime now);
 
   Config config_;
   Lookup lookup_;
   Observer observer_;
   std::map<Key, Task> tasks_;
-  std::map<std::string, bool> finished_;
-  std::map<std::string, bool> images_;
+  std::map<std::string, bool> finished_;  // tasks that have completed here
+  std::map<std::string, bool> images_;    // fetched
   uint64_t agent_epoch_ = 1;
   uint64_t seq_ = 0;
   uint64_t fencing_token_ = 0;
-  SteadyTime lease_from_{};
-  bool changed_ = true;
+  SteadyTime lease_from_{};  // the lease counts from here
+  bool changed_ = true;      // since the last Advance
 };
 
 }  // namespace pitchfall::fakes
--- a/tests/local_cluster/local_cluster.cc
+++ b/tests/local_cluster/local_cluster.cc
@@ -65,7 +65,7 @@
   };
   cloud_.on_delete = [this](const std::string& name) {
     auto node = machines_.extract(name);
-    // Its requests may be under way: it goes in the next step.
+    // Requests of this worker may be in progress, so the next step destroys it.
     if (!node.empty()) gone_.push_back(std::move(node.mapped()));
   };
   step_.reset(event_new(base, -1, EV_PERSIST, OnStep, this));
--- a/tests/local_cluster/local_cluster.h
+++ b/tests/local_cluster/local_cluster.h
@@ -1,5 +1,6 @@
-// The fakes behind real sockets on loopback: a platform for trying
-// pitchfall out by hand and for the test of the real program.
+// The fakes of state service, cloud and workers behind real sockets on
+// loopback, for trying out pitchfall by hand and for the test of the real
+// program.
 #ifndef PITCHFALL_TESTS_PLAYGROUND_PLATFORM_H_
 #define PITCHFALL_TESTS_PLAYGROUND_PLATFORM_H_
 
@@ -17,12 +18,16 @@
 
 namespace pitchfall::local_cluster {
 
+// A controller process; addresses have the form host:port.
 struct Controller {
   std::string label;
-  std::string front;
-  std::string peer;
+  std::string front;  // for users and workers
+  std::string peer;   // for other controllers
 };
 
+// Serves the platform on `base` until destroyed. Every task runs for
+// `task_run`. The constructor throws std::runtime_error if no port can be
+// bound.
 class LocalCluster {
  public:
   LocalCluster(event_base* base, std::vector<Controller> controllers,
@@ -31,16 +36,18 @@
   LocalCluster(const LocalCluster&) = delete;
   LocalCluster& operator=(const LocalCluster&) = delete;
 
-  // The settings file for one of the controllers.
+  // Returns the content of the deployment file for the controller with this
+  // index.
   std::string SettingsFor(size_t index) const;
   size_t machines() const { return machines_.size(); }
 
  private:
-  struct SimulatedMachine;
+  struct SimulatedMachine;  // a worker and its connections to the controllers
   using Handler = fakes::HttpReply (LocalCluster::*)(std::string_view,
                                                      const std::string&,
                                                      const std::string&);
 
+  // Starts an HTTP server for `handler` and returns its port.
   uint16_t Serve(io::EvhttpHandle& server, Handler handler);
   static void OnRequest(evhttp_request* request, void* arg);
   static void OnStep(evutil_socket_t, short, void* arg);
@@ -49,10 +56,14 @@
   fakes::HttpReply Cloud(std::string_view method, const std::string& target,
                          const std::string& body);
   void Boot(const fakes::Cloud::Machine& machine);
+  // Boots machines and advances workers, every 50 ms.
   void Step();
+  // Sends a heartbeat; a failed one goes to the owner that the answer names, or
+  // to the next controller.
   void Heartbeat(SimulatedMachine& simulated);
   SteadyTime Now() const;
 
+  // The argument of the C callback for requests.
   struct Route {
     LocalCluster* platform;
     Handler handler;
@@ -70,11 +81,13 @@
   uint16_t cloud_port_ = 0;
   std::vector<std::pair<SteadyTime, fakes::Cloud::Machine>> booting_;
   std::map<std::string, std::unique_ptr<SimulatedMachine>> machines_;
+  // Deleted machines, destroyed in the next step.
   std::vector<std::unique_ptr<SimulatedMachine>> gone_;
   io::Event step_;
 };
 
-// A port on loopback that nobody listens on at the moment.
+// Returns a port on loopback that is free at the moment. Throws
+// std::runtime_error if there is none.
 uint16_t FreePort();
 
 }  // namespace pitchfall::local_cluster
--- a/tests/local_cluster/main.cc
+++ b/tests/local_cluster/main.cc
@@ -1,5 +1,6 @@
-// pitchfall_local_cluster: a platform of fakes on loopback, and a user's side
-// to it. For trying things out by hand; see README.md.
+// pitchfall_local_cluster serves a fake platform on loopback, and sends
+// requests to its controllers as a user would, for trying out pitchfall by
+// hand; see README.md.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -75,7 +76,8 @@
   return {true, "/api/jobs", out.Take()};
 }
 
-// Reads the command line and does what it says; returns the exit status.
+// Parses the command line and runs the given subcommand. Returns the exit
+// status.
 int Run(int argc, char** argv) {
   CLI::App app{"A platform of fakes for pitchfall, on loopback."};
   app.require_subcommand(1);
