--- a/tests/sim/cluster_simulation.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -16,16 +16,19 @@
 
 constexpr Duration kTick = Millis(25);
 constexpr Duration kHeartbeatTimeout = Millis(4000);
-// The protocol's bound is 90 s; the operators' is 75 s once faults are over.
+// The longest time without an answer to a user who polls. The protocol's bound
+// is 90 s; the operators' is 75 s once faults are over.
 constexpr Duration kForgottenAfter = Millis(75000);
+// A deleted machine may still be assigned tasks until its deletion is known.
 constexpr Duration kDeletionKnown = Millis(8000);
-// The operators' bound on waiting beside room.
+// The operators' bound on waiting while a suitable machine has capacity.
 constexpr Duration kLeftWaiting = Millis(90000);
+// The largest job of a class starts within this time.
 constexpr Duration kLargestBegun = Millis(240000);
-// A start may be on its way when a cancellation is confirmed: sent on what was
-// known two seconds before, in an answer that the worker takes for four.
+// A start may be in flight when a cancellation is confirmed: it is based on
+// state up to 2 s old, and sent in an answer that the worker accepts for 4 s.
 constexpr Duration kStartOnItsWay = Millis(6500);
-// Longer than any schedule plays.
+// Longer than any simulation runs.
 constexpr double kEndlessRunS = 1e6;
 constexpr char kLargeJob[] = "run-900000";
 
@@ -57,7 +60,7 @@
 
 std::string Label(size_t index) { return fmt::format("node-{}", index); }
 
-// Requests of users, for World::Ask.
+// Makes a user's request, for ClusterSimulation::Ask.
 using MakeCommand = std::function<Command(RequestId)>;
 
 MakeCommand SubmissionOf(const JobSpec& spec) {
@@ -82,14 +85,14 @@
   size_t index = 0;
   uint64_t incarnation = 0;
   std::unique_ptr<SimulatedController> controller;
-  bool upgraded = false;  // if it began with the version in production
-  Duration skew{0};
+  bool upgraded = false;  // from the version in production
+  Duration skew{0};       // added to the clocks
   SteadyTime state_cut_until{};
   SteadyTime worker_cut_until{};
   SteadyTime peer_cut_until{};
-  SteadyTime slow_until{};    // works everything off late
-  SteadyTime frozen_until{};  // stands still, its clocks run on
-  bool hold = false;          // cuts hold messages back instead of losing them
+  SteadyTime slow_until{};    // processes all messages late until then
+  SteadyTime frozen_until{};  // is paused until then; its clocks go on
+  bool hold = false;          // cuts delay messages instead of losing them
   RequestId last_request = 0;
   std::map<RequestId, OnAnswer> waiting;
 };
@@ -98,7 +101,7 @@
   std::unique_ptr<fakes::Worker> worker;
   std::string zone;
   bool spot = false;
-  size_t node = 0;
+  size_t node = 0;  // where the next heartbeat goes
   uint64_t heartbeat_number = 0;
   bool waiting = false;
   SteadyTime next_heartbeat{};
@@ -109,16 +112,17 @@
   JobSpec spec;
   fakes::TaskInfo info;
   bool submitted = false;
-  std::optional<SteadyTime> accepted;  // when its user was told
+  // Times at which its user was told; none before.
+  std::optional<SteadyTime> accepted;
   bool asked_cancel = false;
-  bool asked_by_name = false;  // by CancelAtEnd or CancelNow
-  std::optional<SteadyTime> begun;
+  bool asked_by_name = false;       // by CancelAtEnd or CancelNow
+  std::optional<SteadyTime> begun;  // first start of a task
   int starts = 0;
-  SteadyTime moved{};  // last start, or no capacity for one
+  SteadyTime moved{};  // last time that a task started or none could
   std::optional<SteadyTime> cancelled;
   std::optional<SteadyTime> told_done;
-  std::optional<SteadyTime> answered;  // the last question about it
-  bool polls = false;                  // its user asks
+  std::optional<SteadyTime> answered;  // the last successful poll
+  bool polls = false;                  // its user polls it
   std::set<uint32_t> finished;         // tasks that completed on some machine
   bool final() const { return cancelled || told_done; }
 };
@@ -324,7 +328,8 @@
       node.controller->Handle(ClockOf(node), input);
   size_t worker_calls = 0;
   for (const ControllerOutput& output : outputs) {
-    // The version in production orders some of what it writes by address.
+    // The version in production orders some of its writes by memory address, so
+    // they differ between runs.
     if (config_.digest_effects && !RunsProduction(node)) {
       effect_digest_.Add(now_, node.index, output);
     }
@@ -371,8 +376,9 @@
   }
 }
 
-// What takes a reply to the call's maker: the first one, or none by its
-// timeout.
+// Returns a function that delivers a reply to the controller that made the
+// call. Only the first reply counts; without one until the timeout, the
+// controller gets status 0.
 template <typename Call, typename Decode>
 ClusterSimulation::Answer ClusterSimulation::AnswerOnce(const Node& node,
                                                         const Call& call,
@@ -407,7 +413,7 @@
                          now_);
   };
   if (now_ < node.state_cut_until) {
-    // Held-back messages are carried out when the cut is over.
+    // Delayed messages are carried out when the cut is over.
     if (node.hold) {
       After(node.state_cut_until - now_ + Hop(), [execute] { execute(); });
     }
@@ -611,7 +617,7 @@
     return ReceiveWorkerHeartbeat{id, *wire::DecodeWorkerHeartbeat(body).value};
   };
   if (Chance() < config_.late_heartbeat) {
-    // A copy that the network held back; its answer goes nowhere.
+    // A copy that the network has delayed; its answer is discarded.
     After(Between(1, config_.late_heartbeat_s), [this, target, make, name] {
       Ask(target, make, kHeartbeatTimeout, name,
           [](const std::optional<Reply>&) {});
@@ -677,7 +683,7 @@
         static_cast<uint32_t>(std::stoul(task.substr(slash + 1))));
     if (job.finished.size() == job.spec.tasks && !job.asked_cancel &&
         Chance() < cancel_at_end_) {
-      // About when its end is stored.
+      // About the time at which its end is stored.
       After(Between(0, 1), [this, id = job.spec.id] { TryCancel(id); });
     }
     return;
@@ -703,7 +709,7 @@
   if (job.cancelled && now_ > *job.cancelled + deployment_.cancel) {
     Violation("ran_cancelled", task + " starts");
   }
-  // Quota and places, over all that is on a machine at this moment.
+  // Quota and placement, over all tasks that are on machines now.
   double cpus = 0;
   std::map<std::string, uint32_t> zones;
   for (const auto& [other, on] : task_on_) {
@@ -734,7 +740,7 @@
     if (on.machines.empty() || !on.job->cancelled) continue;
     if (now_ > *on.job->cancelled + deployment_.cancel) {
       Violation("ran_cancelled", task + " on " + *on.machines.begin());
-      on.machines.clear();  // said once
+      on.machines.clear();  // reports it once
       return;
     }
   }
@@ -818,7 +824,7 @@
   size_t node = Pick(config_.nodes);
   bool old_version = config_.begins_with_production && !nodes_[node]->upgraded;
   if (old_version && job.spec.shape == Shape::kService) {
-    // Nothing new is asked of the version in production.
+    // The version in production does not know services.
     After(Between(1, 3), [this, id, since] { TrySubmit(id, since); });
     return;
   }
@@ -827,11 +833,12 @@
         JobModel& j = *jobs_[id];
         int status = reply ? reply->status : 0;
         if (status == 200 || status == 201) {
-          // A cancellation may have been answered before.
+          // An answer to a cancellation may have come before and have marked
+          // the job as accepted.
           bool first = !std::exchange(j.polls, true);
           CheckAnswer(j, std::get<JobAnswer>(reply->body), asked);
           if (first) After(Between(1, 5), [this, id] { TryPoll(id); });
-          // Now and then the answer is lost on a user, who asks again.
+          // Some users miss the answer and submit again.
           if (Chance() < 0.2) {
             After(Between(1, 40), [this, id] { TrySubmit(id, now_); });
           }
@@ -858,7 +865,7 @@
         } else if (status == 404) {
           Violation("forgotten", id + " answered 404");
         }
-        // All go on asking after the end, less often.
+        // Users go on polling after the end, less often.
         Duration pause = job.final() ? Between(5, 20) : Between(2, 5);
         if (now_ < storm_until_) {
           storm_polls_ += 1;
@@ -1280,7 +1287,8 @@
   return it->first;
 }
 
-// What came with the grown deployments.
+// Faults of single controllers and of their connections, and a restart of a
+// machine.
 void ClusterSimulation::InjectOneOfMoreFaults(size_t index) {
   Node& node = *nodes_[index];
   switch (Pick(6)) {
@@ -1303,7 +1311,7 @@
       node.peer_cut_until = node.state_cut_until;
       break;
     case 4: {
-      // Back at once, and once more in the middle of what follows.
+      // It is back almost at once, and crashes again while it recovers.
       CrashNode(index, Between(0.02, 0.3));
       After(Between(0.3, 1.5),
             [this, index] { CrashNode(index, Between(0.02, 0.3)); });
@@ -1323,7 +1331,7 @@
   return names;
 }
 
-// What came with the fleet.
+// Faults that affect a large part of the fleet or all controllers.
 void ClusterSimulation::InjectFleetFault(size_t index) {
   switch (Pick(5)) {
     case 0:
@@ -1361,7 +1369,7 @@
   }
 }
 
-// What the operators' list of overlaps names.
+// The overlapping failures that the operators have listed.
 void ClusterSimulation::InjectCompoundFault(size_t index) {
   switch (Pick(11)) {
     case 0:
@@ -1393,7 +1401,8 @@
       CancelNow(3, Chance() < 0.5 ? ToSeconds(Between(1, 5)) : 0);
       break;
     case 5:
-      // The gap, wherever it falls.
+      // The leader loses the state service just before cancellations, and then
+      // everyone does.
       CutNode(OwnerOf(0), {.state = true}, 5);
       CancelNow(3, 0);
       After(Seconds(1), [this] { StopState(Between(5, 17)); });
@@ -1404,7 +1413,7 @@
   }
 }
 
-// A machine is back within a fraction of a second and has forgotten everything.
+// A machine is back in less than a second, without its former state.
 void ClusterSimulation::RestartMachine() {
   if (machines_.empty()) return;
   std::string name = PickMachine();
@@ -1426,7 +1435,7 @@
     Note(name + " hears nothing any more");
     inbound_cut_.insert(name);
   }
-  // Some leases later they must be gone.
+  // Several leases later they must have been deleted.
   After(Seconds(50), [this] {
     for (const std::string& name : inbound_cut_) {
       inbound_cut_left_ += cloud_.machines().contains(name);
@@ -1440,7 +1449,7 @@
   Note("node 1 keeps only its workers and users");
   node.state_cut_until = now_ + Seconds(30);
   node.peer_cut_until = node.state_cut_until;
-  // The load balancer asks twice; after that it sends nobody there.
+  // After two failed health checks the load balancer sends no users there.
   After(Seconds(4), [this] {
     Ask(
         kIsolated, [](RequestId id) -> Command { return HealthCheck{id}; },
@@ -1448,7 +1457,7 @@
         [this](const std::optional<Reply>& reply) {
           isolated_said_unhealthy_ = reply && reply->status == 503;
         });
-    // Users who are still connected learn at once that they should not be.
+    // Users who are still connected must be told to close the connection.
     Ask(
         kIsolated,
         [](RequestId id) -> Command {
@@ -1515,8 +1524,8 @@
   return *(jobs_[id] = std::move(job));
 }
 
-// Every machine is full of tasks that run for a minute, and the state service
-// is away when most of these end.
+// Fills every machine with tasks that run for a minute; the state service has
+// an outage when most of these end.
 void ClusterSimulation::AddWideJobs() {
   for (int i = 0; i < config_.wide_jobs; ++i) {
     std::string id = fmt::format("run-8{:05}", i);
@@ -1529,8 +1538,8 @@
   After(Seconds(70), [this] { StopState(Seconds(16)); });
 }
 
-// A cluster that is full for good: urgent small jobs of the team use up its
-// limit, and one large job of no importance wants some of it too.
+// Keeps the cluster full: small jobs of high priority use up the team's limit,
+// and one large job of low priority needs part of it too.
 void ClusterSimulation::AddCrowd() {
   auto add = [this](const std::string& id, Priority priority, uint32_t tasks,
                     double run, double at) {
@@ -1548,21 +1557,21 @@
 
 void ClusterSimulation::NoteAnswered(JobModel& job) { job.answered = now_; }
 
-// Asked every few seconds, each accepted job gets an answer now and then,
-// whatever else the controllers have to do.
+// Users poll each job every few seconds, and must get an answer within
+// kForgottenAfter, whatever else the controllers have to do.
 void ClusterSimulation::CheckForgotten() {
   for (auto& [id, job] : jobs_) {
     if (!job->polls || !job->answered) continue;
     SteadyTime since = std::max(*job->answered, calm_since_);
     if (now_ - since <= kForgottenAfter) continue;
     Violation("forgotten", id + " gets no answer");
-    job->answered.reset();  // said once
+    job->answered.reset();  // reports it once
   }
   After(Seconds(1), [this] { CheckForgotten(); });
 }
 
-// Nothing is newly bound to a machine that has been deleted, whatever late
-// copies of its heartbeats say.
+// No task may be newly assigned to a deleted machine, even if late copies of
+// its heartbeats arrive.
 void ClusterSimulation::CheckAssignments(const Transaction& txn) {
   for (const Write& write : txn.writes) {
     if (!write.value) continue;
@@ -1572,7 +1581,7 @@
       for (const Assignment& a : entry.record.assigned) {
         if (!bound_.insert({entry.job, a.task, a.attempt}).second) continue;
         auto deleted = deleted_.find(a.machine);
-        // Its deletion may not be known yet.
+        // The deletion may not be known yet.
         if (deleted == deleted_.end() ||
             now_ - deleted->second < kDeletionKnown) {
           continue;
@@ -1596,8 +1605,8 @@
   }
 }
 
-// Whether a machine that fits has capacity for a task of the job that is
-// neither done nor running, and its team may use more.
+// Returns whether the job has a task that is neither done nor on a machine, its
+// team may use more, and a suitable machine has capacity.
 bool ClusterSimulation::CouldStart(const JobModel& job) const {
   const JobSpec& spec = job.spec;
   uint32_t on = 0;
@@ -1644,7 +1653,7 @@
     if (!CouldStart(*job)) job->moved = now_;
     if (now_ - job->moved <= kLeftWaiting) continue;
     Violation("left_waiting", id + " beside a machine with room");
-    job->moved = now_ + Seconds(1000);  // said once
+    job->moved = now_ + Seconds(1000);  // reports it once
   }
   After(Seconds(1), [this] { CheckWaiting(); });
 }
@@ -1683,8 +1692,9 @@
   }
 }
 
-// What no controller may accept: a team that is not there, more than any
-// machine has, a zone that no type has. (Fields that lack are the codec's.)
+// Sends a submission that no controller may accept: an unknown team, more CPUs
+// than any machine has, or a zone that no machine type has. (Tests of the codec
+// cover missing fields.)
 void ClusterSimulation::SendOddRequest() {
   JobSpec spec;
   spec.id = fmt::format("run-95{:04}", Pick(10000));
@@ -1713,7 +1723,7 @@
           Violation("accepted_odd", spec.id + " can never run");
         }
       });
-  // Repeats of whatever there is, and cancellations of what is done.
+  // Repeats the submission of an accepted job, or cancels one that is done.
   auto any =
       std::next(jobs_.begin(), static_cast<ptrdiff_t>(Pick(jobs_.size())));
   if (any->second->accepted) TrySubmit(any->first, now_);
--- a/tests/sim/cluster_simulation.h
+++ b/tests/sim/cluster_simulation.h
@@ -1,8 +1,10 @@
-// A small simulated deployment: real controllers (without their sockets),
-// fakes for everything around them, and a plain model of what is true. The
-// model watches every start and every answer, and knows the protocol's rules.
+// A discrete-event simulation of a small deployment: real controllers without
+// their sockets, fakes of the state service, the cloud and the workers, and a
+// reference model of the jobs. The model observes every start of a task and
+// every answer to a user, and reports violations of the protocol's rules.
 //
-// Everything follows from the seed: one queue of events, no threads, no clocks.
+// The run is determined by the seed: there is one queue of events, and neither
+// threads nor real clocks.
 #ifndef PITCHFALL_TESTS_SIM_CLUSTER_SIMULATION_H_
 #define PITCHFALL_TESTS_SIM_CLUSTER_SIMULATION_H_
 
@@ -25,75 +27,92 @@
 
 namespace pitchfall::sim {
 
+// What a simulation consists of and which faults it injects. Names that end in
+// `_s` are in seconds.
 struct SimulationConfig {
   uint64_t seed = 1;
   size_t nodes = 3;
-  uint32_t partition_count = 0;  // as many as controllers
-  int jobs = 25;
+  uint32_t partition_count = 0;  // 0: as many as controllers
+  int jobs = 25;                 // random jobs
+  // The random jobs are submitted within this time from the start.
   Duration jobs_within = Seconds(60);
+  // No random fault begins later.
   Duration faults_until = Seconds(90);
-  // A team with many rounds of work behind its limit takes a while.
+  // How long the run lasts in simulated time. A team whose work exceeds its
+  // limit many times over needs that long.
   Duration end = Seconds(320);
-  double cancel_share = 0.15;
-  double longest_run_s = 8;
-  // Probabilities for each message.
+  double cancel_share = 0.15;  // of the random jobs
+  double longest_run_s = 8;    // of their tasks
+  // Probability that the answer of the state service to a request is lost.
   double lost_reply = 0.01;
-  double late_copy = 0.01;  // carried out seconds later, and nobody told
+  // Probability that a request to the state service or the cloud is carried out
+  // seconds later and never answered.
+  double late_copy = 0.01;
+  // Probability that a copy of a heartbeat arrives late as well.
   double late_heartbeat = 0.02;
-  // Mean time between faults; zero: none.
+  // Mean time between random faults; zero: none.
   Duration fault_interval = Seconds(8);
-  double team_limit = 12;
-  bool constrained_jobs = true;  // zones, spreading, machine kinds
-  size_t capacity = 10;          // machines of each zone and kind
-  double late_heartbeat_s =
-      20;  // how late copies of heartbeats come at the most
+  double team_limit = 12;  // in CPUs
+  // Some of the random jobs require a zone, one zone for all tasks, spreading
+  // over zones, or on-demand machines.
+  bool constrained_jobs = true;
+  size_t capacity = 10;  // machines in each zone, spot and on-demand each
+  // The longest delay of a late copy of a heartbeat.
+  double late_heartbeat_s = 20;
   double heartbeat_s = 1;
   double lease_s = 6;
   double cancel_s = 20;
-  // Heartbeats of these many machines arrive from 30 s on, and nothing reaches
-  // them.
+  // From 30 s on, nothing reaches this many machines, while their heartbeats
+  // still arrive.
   int inbound_cut_machines = 0;
-  // Besides: controllers that stand still while their clocks run on, zones and
-  // many machines cut off, many machines that hang, all controllers restarted
-  // while the state service is away.
+  // Adds random faults: controllers that are paused while their clocks go on,
+  // zones and many machines cut off, many machines that hang, and restarts of
+  // all controllers during an outage of the state service.
   bool fleet_faults = false;
-  // Besides: late writes, cut off inbound and cut off outbound machines,
-  // isolated controllers, jobs called off at once and at their end.
+  // Adds random faults: delayed writes, lost answers to writes, delayed
+  // commands and heartbeats, machines cut off inbound or outbound, isolated
+  // controllers, users who query all controllers after each change, and jobs
+  // cancelled while they run or end.
   bool compound_faults = false;
-  // Once: a controller loses the state service and its peers, but not its
-  // workers nor its users.
+  // Once, at 30 s, controller 1 loses the state service and its peers for 30 s,
+  // but neither its workers nor its users.
   bool isolate_a_node = false;
-  // Crashed processes are back within this.
+  // The longest time until a randomly crashed controller is back.
   double longest_down_s = 4;
-  // Besides: one large unimportant job at the start, and urgent ones for ever.
+  // Adds one large job of low priority at 10 s, and small ones of high priority
+  // every 5 s that keep the team at its limit.
   bool crowded = false;
-  // At the start a few jobs of hundreds of tasks that all end at one moment.
+  // Number of jobs with 500 tasks each, submitted at 1 s, which all run for 60
+  // s and so end at about the same time.
   int wide_jobs = 0;
-  // How often a machine looks at its tasks; large fleets do so less often.
+  // Interval at which a machine advances its tasks; large fleets use a longer
+  // one.
   double machine_step_s = 0.05;
-  double faulty_share = 0.04;  // of the machines fail all that they start
+  double faulty_share = 0.04;  // of the machines, on which every task fails
+  // Limits of the state service.
   uint32_t txn_ops = 8;
   double value_kb = 8;
-  // Limits announced for the moment of LowerStateLimits; 0: none.
+  // Announced limits, in force from LowerStateLimits on; 0: none.
   double next_value_kb = 0;
   uint32_t next_txn_ops = 0;
-  // Controllers are of the version in production until they are upgraded.
+  // Controllers run the version in production until they are upgraded.
   bool begins_with_production = false;
   double state_writes = 60;  // puts and deletes that the service takes a second
-  // Each machine that is rented is up at once, so that a overlap of failures
-  // finds the same machines whatever the seed.
+  // Every rented machine is up after 100 ms, so that overlapping failures meet
+  // the same machines whatever the seed. Otherwise booting takes 1 to 4 s, and
+  // 5% of the machines never come up.
   bool quick_boots = false;
-  // Now and then users send what must be refused, repeat submissions of jobs
-  // that run, and cancel jobs that are done.
+  // Every 0.5 to 2 s users send a submission that must be refused, repeat one
+  // that was accepted, or cancel a job that is done.
   bool odd_requests = false;
-  // Faults put in on purpose, to show that the checks notice.
+  // Injected faults, to show that the checks detect them.
   bool state_ignores_conditions = false;
   bool workers_ignore_stops = false;
-  bool log_debug = false;
-  bool digest_effects = false;
+  bool log_debug = false;       // records debug lines of the controllers too
+  bool digest_effects = false;  // computes effect_digest()
 };
 
-// Until when a kind of message is disturbed, and how large a share of them.
+// A fault that affects a share of the messages of one kind until some time.
 struct FaultWindow {
   double share = 0;
   SteadyTime until{};
@@ -106,128 +125,157 @@
   ClusterSimulation(const ClusterSimulation&) = delete;
   ClusterSimulation& operator=(const ClusterSimulation&) = delete;
 
-  // Plays the whole schedule.
+  // Runs the simulation to its end; may be called once.
   void Run();
 
-  // For schedules that bring one overlap of failures about: what is to happen
-  // so many seconds after the start.
+  // Runs `what` so many seconds from the current simulated time, which before
+  // Run() is the start. For schedules that arrange overlapping failures.
   void At(double second, std::function<void()> what) {
     After(Seconds(second), std::move(what));
   }
-  // Who owns the partition by the state service; the owner of partition 0
-  // leads.
+  // Returns the controller that owns the partition by the state service's
+  // records, or 0 if none does. The owner of partition 0 is the leader.
   size_t OwnerOf(uint32_t partition) const;
+  // The connections of a controller that are interrupted.
   struct Cut {
     bool state = false;
     bool workers = false;
     bool peers = false;
-    bool hold = false;  // instead of losing messages
+    bool hold = false;  // delays messages until the end instead of losing them
   };
   void CutNode(size_t index, Cut cut, double seconds);
   void StopState(Duration how_long);
-  // Transactions get no answer and are carried out 2 to 12 s later.
+  // This share of the transactions gets no answer and is carried out 2 to 12 s
+  // later.
   void LateWrites(double share, double seconds);
-  // Transactions are carried out at once and only their answers are lost.
+  // This share of the transactions is carried out at once, but the answers are
+  // lost.
   void LoseWriteAnswers(double share, double seconds);
-  // Direct commands are held up for 2 to 16 s, unanswered, and carried out
-  // then.
+  // This share of the direct commands to workers gets no answer and is carried
+  // out 2 to 16 s later.
   void DelayCommands(double share, double seconds);
-  // Copies of heartbeats are kept until the machine's partition has a new
-  // owner, and reach every controller so long after that.
+  // Copies of this share of the heartbeats are held back until the machine's
+  // partition has a new owner, and reach every controller `delay_s` after that.
   void KeepHeartbeatsForNextOwner(double share, double seconds, double delay_s);
-  // Right after a job was accepted, ended or cancelled, users ask about it and
-  // repeat its submission at all controllers within milliseconds; some cancel.
+  // As soon as a user is told that a job was accepted, has ended or is
+  // cancelled, users poll it and repeat its submission at all controllers
+  // within 30 ms; one time in ten they cancel it too.
   void WatchAnswersClosely(double seconds);
+  // Requests to the state service take 0.1 to 0.8 s longer.
   void SlowState(double seconds);
   void CrashNode(size_t index, Duration down);
   void CrashAllNodes(double down_s);
-  // The controller ends and comes back with the present version.
+  // The controller crashes and comes back with the present version.
   void UpgradeNode(size_t index, Duration down);
+  // Puts the announced limits of the state service into force.
   void LowerStateLimits();
+  // The controller processes nothing while its clocks go on.
   void FreezeNode(size_t index, double seconds);
+  // The controller processes messages 0.1 to 0.6 s late.
   void SlowNode(size_t index, double seconds);
   void StopCloud(double seconds);
+  // Cuts off zone b: its machines and controllers from those of other zones,
+  // and its controllers from the state service and all peers.
   void CutZone(double seconds, bool hold);
   void CutMachines(double share, double seconds, bool hold);
   void HangMachines(double share, double seconds);
-  // They report, but hear nothing; or reach no controller, but take commands.
+  // Inbound: the machines send heartbeats, but nothing reaches them. Outbound:
+  // they reach no controller, but accept commands.
   void CutInbound(double share, double seconds);
   void CutOutbound(double share, double seconds);
   void KillMachines(double share);
-  // Users call off that many jobs that run and have long to go; their machines
-  // hang so long.
+  // Users cancel that many running jobs. For each, the machines that run its
+  // tasks hang for `hang_s`; 0: none does.
   void CancelNow(int count, double hang_s);
+  // From now on, users cancel this share of the jobs within a second of the
+  // completion of their last task.
   void CancelAtEnd(double share) { cancel_at_end_ = share; }
   // A job without constraints, submitted at that second.
   JobSpec& AddJobAt(double second, const std::string& id, uint32_t tasks,
                     double run_s);
-  // The same of a team that has neither a guarantee nor a limit.
+  // The same for a team that has neither a guarantee nor a limit.
   JobSpec& AddGuestJobAt(double second, const std::string& id, uint32_t tasks,
                          double run_s, double cpus);
-  // A standing job; its user has to call it off for it to count as finished.
+  // A service, which runs until it is cancelled; it only counts as finished
+  // once its user has cancelled it.
   JobSpec& AddServiceAt(double second, const std::string& id, uint32_t replicas,
                         double cpus);
-  // How many of its tasks are on machines.
+  // Returns the number of its tasks that are on machines.
   int replicas_up(const std::string& id) const;
-  // Whether its user, be it in a fault of the schedule, has called it off.
+  // Returns whether a user has requested its cancellation, in a random fault or
+  // otherwise.
   bool called_off(const std::string& id) const;
-  // All that runs on that share of the machines completes.
+  // All running replicas on that share of the machines end by themselves.
   void EndReplicas(double share);
-  // Its user calls the job off, accepted or not.
+  // Its user cancels the job, whether or not it was accepted.
   void CancelAt(double second, const std::string& id) {
     At(second, [this, id] { TryCancel(id); });
   }
   // Its tasks fail on every machine until its user cancels it.
   void AddBrokenJobAt(double second, const std::string& id, uint32_t tasks,
                       double cancel_after_s);
-  // Users ask so many times as often, also about jobs that nobody submitted.
+  // Users poll `factor` times as often, and also jobs that nobody submitted.
   void PollStorm(double factor, double seconds);
-  // What is hopped over from here on counts as calm for the checks that only
-  // hold once faults are over.
+  // From that second on, the checks that only hold once faults are over take
+  // them to be over.
   void CalmFrom(double second) { calm_since_ = now_ + Seconds(second); }
 
+  // The broken rules, as "rule: details".
   const std::vector<std::string>& violations() const { return violations_; }
+  // The number of accepted jobs, and of those that their users know to be done
+  // or cancelled.
   int accepted() const;
   int finished() const;
+  // Tasks that began to run, repetitions included.
   int starts() const { return starts_; }
   const std::vector<std::string>& log() const { return log_; }
-  // Over all effects of the controllers so far, with `digest_effects`.
+  // The hash of all effects of the controllers so far, if `digest_effects` is
+  // set.
   uint64_t effect_digest() const { return effect_digest_.value(); }
-  // What broke, and the end of the story: for the messages of tests.
+  // Returns the violations and the last 300 lines of the log, for the failure
+  // messages of tests.
   std::string Story() const;
-  // Of the cut off inbound machines: how many were still rented 50 s later.
+  // The number of `inbound_cut_machines` that were still rented 50 s later.
   int inbound_cut_left() const { return inbound_cut_left_; }
-  // Requests of users that the isolated controller refused or left unanswered
-  // once it had called itself unhealthy or should have.
+  // The number of requests that the isolated controller, 4 s into its
+  // isolation, neither answered with status 200 nor with an instruction to
+  // close the connection.
   int lost_on_isolated() const { return lost_on_isolated_; }
+  // Whether it answered a health check at that time with status 503.
   bool isolated_said_unhealthy() const { return isolated_said_unhealthy_; }
-  // Seconds from its submission to the first start of the large job's tasks.
+  // Seconds from the acceptance of the large job of `crowded` to the first
+  // start of its tasks; none before.
   std::optional<double> large_begun_after() const { return large_begun_; }
   size_t largest_transaction() const { return state_.largest_transaction(); }
   size_t machines() const { return machines_.size(); }
-  // The most calls to workers that one turn of a controller made.
+  // The most calls to workers that a controller made in answer to one input.
   size_t max_worker_calls() const { return max_worker_calls_; }
   uint64_t state_calls() const { return state_calls_; }
-  // Transactions that owners of the partition have sent so far.
+  // The number of transactions so far that were conditional on the ownership of
+  // the partition.
   int owner_transactions(uint32_t partition) const {
     auto found = owner_transactions_.find(partition);
     return found == owner_transactions_.end() ? 0 : found->second;
   }
-  // Puts of teams' quota shares so far.
+  // The number of writes of teams' quota shares so far.
   int team_puts() const { return team_puts_; }
-  // Tasks that started after their user had been told that the job is
-  // cancelled, a start that was on its way by then included.
+  // The number of tasks that started after their user had been told that the
+  // job is cancelled, including starts that were in flight at that time.
   int starts_after_cancellation() const { return starts_after_cancellation_; }
-  // Tasks lost with an agent epoch that ended because nobody answered in time.
+  // The number of tasks lost because a worker's lease ran out.
   int lost_with_lease() const { return lost_with_lease_; }
   int cancelled() const;
   int starts_of(const std::string& job) const;
   bool done(const std::string& job) const;
-  // Seconds from its submission to the first start of its tasks.
+  // Seconds from its acceptance to the first start of its tasks; none if it was
+  // not accepted or not started.
   std::optional<double> begun_after(const std::string& job) const;
-  // Questions of users in a storm, and how many got 200 in time.
+  // The number of polls during a PollStorm, and of those answered with status
+  // 200 in time.
   int storm_polls() const { return storm_polls_; }
   int storm_answers() const { return storm_answers_; }
+  // The number of quarantines of machines that are faulty, or of those that are
+  // not.
   size_t quarantines(bool faulty) const;
 
  private:
@@ -248,7 +296,8 @@
   }
   Duration Hop() { return Between(0.001, 0.01); }
 
-  // Controllers.
+  // Controllers. An incarnation tells a controller from its predecessors before
+  // a crash.
   void StartNode(size_t index);
   bool RunsProduction(const Node& node) const;
   void TickNode(size_t index, uint64_t incarnation);
@@ -262,11 +311,11 @@
   void PerformState(Node& node, const EncodedStateCall& call);
   void PerformCloud(Node& node, const CloudCall& call);
   void PerformWorker(Node& node, const WorkerCall& call);
-  // Asks a controller as a client would; the answer comes within `timeout` or
-  // never (none).
+  // Receives the answer; none after the timeout.
   using OnAnswer = std::function<void(const std::optional<Reply>&)>;
-  // `machine`: which asks; empty for users.
   using MakeCommand = std::function<Command(RequestId)>;
+  // Sends a request to a controller as a client would. `machine` names the
+  // worker that sends it; it is empty for users.
   void Ask(size_t index, const MakeCommand& make, Duration timeout,
            const std::string& machine, const OnAnswer& on_answer);
 
@@ -282,8 +331,8 @@
   void TrySubmit(const std::string& id, SteadyTime since);
   void TryPoll(const std::string& id);
   void TryCancel(const std::string& id);
-  // An answer only counts as old against what the user had been told when the
-  // request went out.
+  // Compares an answer with what users have been told. An answer may only
+  // contradict what was told after `asked`, the time of its request.
   void CheckAnswer(JobModel& job, const JobAnswer& answer, SteadyTime asked);
 
   void InjectFault();
@@ -293,8 +342,8 @@
   void CrashAllNodes();
   void Hang(const std::string& name, Duration how_long);
   std::vector<std::string> PickMachines(double share);
-  // Whether nothing passes between the controller and the machine (or, without
-  // one, its users).
+  // Returns whether no message passes between the controller and the machine
+  // or, if `machine` is empty, its users.
   bool CutOff(size_t index, const std::string& machine) const;
   const std::string& PickMachine();
   void RestartMachine();
@@ -308,10 +357,12 @@
   void CheckAssignments(const Transaction& txn);
   void CountOwnerTransaction(const Transaction& txn);
   void CheckCancelled();
-  // Once faults are over no task waits long beside a machine that has capacity.
+  // Once faults are over, no task waits long while a suitable machine has
+  // capacity.
   void CheckWaiting();
   bool CouldStart(const JobModel& job) const;
-  // Half of each class, team and class's largest jobs, the largest soon.
+  // More than half of the jobs of each class and of each team are done, and the
+  // largest job of each class has started in time.
   void CheckServed();
   void SendOddRequest();
   void AskAboutNobodysJob();
@@ -370,11 +421,12 @@
   int storm_answers_ = 0;
   std::set<std::string> faulty_;
   SteadyTime zone_cut_until_{};  // zone b, with the controllers in it
-  bool zone_hold_ = false;
+  bool zone_hold_ = false;       // also for cut_until_
   std::map<std::string, SteadyTime> cut_until_;  // machines
-  std::map<std::string, SteadyTime> deleted_;    // machines, and since when
+  std::map<std::string, SteadyTime> deleted_;    // machines and their deletion
+  // Job, task and attempt of every assignment seen so far.
   std::set<std::tuple<std::string, uint32_t, uint32_t>> bound_;
-  SteadyTime calm_since_{};  // the last fault's end
+  SteadyTime calm_since_{};  // when the last fault ends
   int inbound_cut_left_ = 0;
   int lost_on_isolated_ = 0;
   bool isolated_said_unhealthy_ = false;
@@ -382,6 +434,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
   std::map<std::string, std::unique_ptr<SimulatedMachine>> machines_;
   std::map<std::string, std::unique_ptr<JobModel>> jobs_;
+  // The machines that a task occupies.
   struct OnMachines {
     JobModel* job = nullptr;
     std::set<std::string> machines;
