--- a/tests/core_environment.h
+++ b/tests/core_environment.h
@@ -1,6 +1,6 @@
-// What the classes of src/core are constructed with, for tests that drive one
-// of them alone: an empty state cache, budgets that never run out, and a clock
-// that the test moves.
+// The dependencies of the classes of src/core, for tests of a single class: an
+// empty state cache, rate limits too high to matter, and a clock that the test
+// sets.
 #ifndef PITCHFALL_TESTS_CORE_ENVIRONMENT_H_
 #define PITCHFALL_TESTS_CORE_ENVIRONMENT_H_
 
@@ -15,6 +15,7 @@
 namespace pitchfall {
 
 struct CoreEnvironment {
+  // Rate and burst of all rate limits.
   static constexpr double kPlenty = 1000;
 
   explicit CoreEnvironment(const Deployment& given, uint32_t partitions = 1)
@@ -46,8 +47,8 @@
   }
   void Advance(Duration by) { SetNow(now.steady.time_since_epoch() + by); }
 
-  // Answers the first call to the state service among the effects, and returns
-  // its request.
+  // Takes the effects so far, answers the first call to the state service among
+  // them, and returns its request. Fails the test if there is none.
   StateRequest AnswerState(StateReply reply) {
     for (const Effect& effect : out.TakeEffects()) {
       const auto* call = std::get_if<StateCall>(&effect);
@@ -60,7 +61,8 @@
     ADD_FAILURE() << "no call to the state service";
     return {};
   }
-  // One read of the watcher's that succeeds at once.
+  // Lets the state watcher make one read, 500 ms later, which succeeds at once
+  // with this revision.
   void Read(uint64_t revision = 100) {
     Advance(Millis(500));
     state_watcher.Step();
--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -1,6 +1,6 @@
-// The version in production and the present one run side by side and work on
-// each other's data (see tests/production.cmake), while controllers are
-// upgraded one after the other.
+// Tests of rolling upgrades: controllers of the version in production and of
+// the present one run side by side on the same data (see
+// tests/production.cmake), while they are upgraded one after the other.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,7 +20,8 @@
   config.next_txn_ops = 4;
 }
 
-// In an order that follows from the seed.
+// Upgrades the controllers `every` seconds from second `from` on, in an order
+// that the seed determines.
 void Upgrade(ClusterSimulation& simulation, uint64_t seed, double from,
              double every) {
   std::vector<size_t> order{0, 1, 2};
@@ -48,7 +49,7 @@
 }
 
 // A standing job is refused until the last controller of the old version is
-// gone, be it for a long time.
+// gone, also if it only is away for a long time.
 TEST(MixedVersions, StandingJobsWaitForTheLastUpgrade) {
   Play(MixedConfig, [](ClusterSimulation& simulation) {
     simulation.At(20, [&] { simulation.UpgradeNode(0, Seconds(1)); });
@@ -66,8 +67,9 @@
   });
 }
 
-// One that dies before its turn comes back old, also after others have been
-// upgraded and have accepted standing jobs in its absence.
+// A controller that crashes before its upgrade comes back with the old version,
+// after the others have been upgraded and have accepted standing jobs in its
+// absence.
 TEST(MixedVersions, AnOldControllerComesBackAmongNewOnes) {
   Play(MixedConfig, [](ClusterSimulation& simulation) {
     simulation.At(20, [&] { simulation.UpgradeNode(0, Seconds(0.2)); });
@@ -77,7 +79,7 @@
     for (int second = 75; second < 85; second += 3) {
       simulation.At(second, [&] { simulation.CrashNode(2, Seconds(0.2)); });
     }
-    // Then the new ones are away, and the old one has all partitions.
+    // Then the upgraded ones are away, and the old one owns all partitions.
     simulation.At(88, [&] {
       simulation.CrashNode(0, Seconds(12));
       simulation.CrashNode(1, Seconds(12));
@@ -91,9 +93,9 @@
   });
 }
 
-// Upgrades in every order amid random faults: crashes, cuts, outages of the
-// state service, late messages, cancellations; the limits are lowered once all
-// have been upgraded.
+// Upgrades in various orders among random faults: crashes, cuts, outages of the
+// state service, late messages and cancellations. The limits are lowered once
+// all controllers have been upgraded.
 TEST(MixedVersions, KeepTheRulesInRandomSchedules) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     SCOPED_TRACE(seed);
@@ -113,8 +115,8 @@
   }
 }
 
-// Large records of the version in production outlive the limits under which
-// they were stored: chunks with many tasks on machines, and full segments.
+// Records of the version in production may exceed the lowered limits: chunks
+// with many tasks on machines, and full segments.
 TEST(MixedVersions, RecordsLargerThanTheNewLimitsAreReplaced) {
   auto prepare = [](SimulationConfig& config) {
     MixedConfig(config);
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -1,5 +1,5 @@
-// The real program, over loopback, against the fakes: three controllers
-// take a job from submission to done, and one of them is killed on the way.
+// Tests of the real program over loopback, against the fakes of the platform:
+// three controllers run a job to its end, and one of them is killed meanwhile.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <spawn.h>
@@ -69,7 +69,8 @@
     pids_[i] = 0;
   }
 
-  // Asks until `good`, for a generous while.
+  // Repeats the request every 100 ms, 600 times at most, until `good` accepts
+  // the answer. Returns whether it did.
   bool Until(size_t node, const wire::HttpRequest& request,
              const std::function<bool(int, const std::string&)>& good) {
     io::HttpClient client(base_.get(),
@@ -128,7 +129,7 @@
                       EXPECT_NE(status, 404);
                       return status == 200 && Status(body) == "done";
                     }));
-  // A repeated submission finds the job as it is now.
+  // A repeated submission returns the present status of the job.
   EXPECT_TRUE(Until(2, Submission("run-000001"),
                     [](int status, const std::string& body) {
                       return status == 200 && Status(body) == "done";
--- a/tests/sim/current_controller.cc
+++ b/tests/sim/current_controller.cc
@@ -1,4 +1,5 @@
-// The present version of the controller, and the decoding of transactions.
+// The adapter for the present version of the controller, and the decoding of
+// transactions.
 #include <map>
 #include <stdexcept>
 #include <utility>
@@ -12,6 +13,7 @@
 namespace pitchfall::sim {
 namespace {
 
+// Limits on decoded transactions.
 constexpr size_t kMaxItems = 200000;
 constexpr size_t kMaxDepth = 16;
 
--- a/tests/sim/effect_digest.h
+++ b/tests/sim/effect_digest.h
@@ -1,6 +1,6 @@
-// A hash over everything that the controllers of a simulation ask for, in
-// order and with its simulated time. Two versions of the code that behave alike
-// have the same digests; texts of log lines are left out.
+// A hash over all effects of the controllers of a simulation, in order and with
+// their simulated times. Two versions of the code that behave alike have the
+// same digests; log lines are left out.
 #ifndef PITCHFALL_TESTS_SIM_EFFECT_DIGEST_H_
 #define PITCHFALL_TESTS_SIM_EFFECT_DIGEST_H_
 
@@ -19,15 +19,17 @@
  public:
   EffectDigest();
 
-  // Adds what the controller with this index asked for, as the bytes that would
-  // leave its process.
+  // Adds an output of the controller with this index, as the bytes that would
+  // leave its process. Throws std::logic_error for effects that have to come
+  // encoded.
   void Add(SteadyTime now, size_t controller, const ControllerOutput& output);
 
+  // The hash of all that was added so far.
   uint64_t value() const;
 
  private:
   void AddNumber(int64_t number);
-  // With its length, so that neighbouring texts cannot be confused.
+  // Adds the length too, so that the borders between texts count.
   void AddText(std::string_view text);
   void AddHttp(const wire::HttpRequest& http);
   void AddEffect(const Effect& effect);
--- a/tests/sim/play.h
+++ b/tests/sim/play.h
@@ -1,5 +1,5 @@
-// Plays a schedule of the simulation with several seeds and expects that no
-// rule breaks and that all accepted jobs end.
+// Runs a schedule of the cluster simulation with several seeds, and expects
+// that it breaks no rule and finishes all accepted jobs.
 #ifndef PITCHFALL_TESTS_SIM_PLAY_H_
 #define PITCHFALL_TESTS_SIM_PLAY_H_
 
@@ -11,8 +11,8 @@
 
 namespace pitchfall::sim {
 
-// Neither random faults nor lost messages, and nobody cancels: what happens
-// is what a test asks for.
+// Returns a configuration without random faults, lost messages and
+// cancellations: only what a test schedules disturbs the run.
 inline SimulationConfig CalmConfig(uint64_t seed) {
   SimulationConfig config;
   config.seed = seed;
@@ -23,8 +23,9 @@
   return config;
 }
 
-// The same with two dozen long tasks on healthy machines in both zones, which
-// are up at once. The bound on answers without the state service is 12 s.
+// Returns the same with 20 jobs, tasks of up to 40 s, and healthy machines that
+// are up at once, in both zones. Controllers answer polls for at most 12 s
+// without the state service.
 inline SimulationConfig LongTasksConfig(uint64_t seed) {
   SimulationConfig config = CalmConfig(seed);
   config.jobs = 20;
@@ -34,13 +35,15 @@
   return config;
 }
 
+// Expects that no rule was broken and that all accepted jobs have finished.
 inline void ExpectRulesKept(const ClusterSimulation& simulation) {
   EXPECT_TRUE(simulation.violations().empty()) << simulation.Story();
   EXPECT_EQ(simulation.finished(), simulation.accepted()) << simulation.Story();
 }
 
-// `prepare` changes the configuration, `schedule` says what happens when, and
-// `check` looks at the outcome; the first and the last may be empty.
+// Runs a simulation for each seed. `prepare` changes its configuration,
+// `schedule` arranges events before the run, and `check` examines the outcome;
+// the first and the last may be empty.
 inline void Play(const std::function<void(SimulationConfig&)>& prepare,
                  const std::function<void(ClusterSimulation&)>& schedule,
                  const std::function<void(ClusterSimulation&)>& check = {}) {
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -1,6 +1,6 @@
-// The version in production, see tests/production.cmake. Its commands and
-// effects are translated field by field; what it stores and tells other
-// controllers stays in the form that it has encoded itself.
+// The adapter for the version in production, see tests/production.cmake.
+// Commands and effects are translated field by field; records and messages to
+// other controllers keep the form in which that version has encoded them.
 #include <map>
 #include <stdexcept>
 #include <utility>
@@ -122,7 +122,7 @@
   return to;
 }
 old::Command ToOld(const Tick&) { return old::Tick{}; }
-// These two come encoded.
+// These two come encoded, so they never get here.
 old::Command ToOld(const StateReply&) { throw std::logic_error("not encoded"); }
 old::Command ToOld(const PeerHeartbeat&) {
   throw std::logic_error("not encoded");
@@ -196,7 +196,7 @@
           old::wire::DecodeState(request.mapped(), reply->status, reply->body);
       decoded.call = reply->call;
       for (const old::Change& change : decoded.changes) {
-        // Fences are records of no kind.
+        // Fence keys hold no record that could be decoded.
         if (change.unreadable && !change.key.starts_with("pf/fences/")) {
           throw std::runtime_error("production cannot read " + change.key);
         }
@@ -220,7 +220,8 @@
   }
 
  private:
-  // It knows nothing of announced limits.
+  // Announced limits are left out; the version in production does not know
+  // them.
   static old::Deployment MakeDeployment(const Deployment& from) {
     old::Deployment to;
     to.label = from.label;
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -1,9 +1,11 @@
-// Plays random schedules by hand; the tests play a fixed few.
+// Runs the cluster simulation with random schedules, for use by hand; the tests
+// run a fixed few.
 //
-//   pitchfall_soak FIRST COUNT            reports schedules with findings; with
-//                                         a COUNT of 1 it prints the story
-//   pitchfall_soak --digest FIRST COUNT   prints a hash of all that the
-//                                         controllers did, a line a schedule;
+//   pitchfall_soak FIRST COUNT            runs COUNT seeds from FIRST on, and
+//                                         reports those with findings; with a
+//                                         COUNT of 1 it prints the whole log
+//   pitchfall_soak --digest FIRST COUNT   prints a hash of all effects of the
+//                                         controllers, one line per schedule;
 //                                         tests/digests.txt holds those of the
 //                                         code before its refactoring
 #include <cinttypes>
@@ -26,6 +28,7 @@
 constexpr uint64_t kDefaultCount = 100;
 constexpr uint64_t kKindsBesideRandom = 3;
 
+// A simulation and what is arranged before it runs; `prepare` may be empty.
 struct Schedule {
   const char* kind = "";
   SimulationConfig config;
@@ -103,7 +106,7 @@
   return {"large", config, {}};
 }
 
-// Each seed has a random schedule and one of the other kinds.
+// Returns the schedules of a seed: a random one and one of the other kinds.
 std::vector<Schedule> SchedulesOf(uint64_t seed) {
   std::vector<Schedule> schedules{{"random", RandomConfig(seed), {}}};
   switch (seed % kKindsBesideRandom) {
@@ -133,7 +136,8 @@
   }
 }
 
-// Whether the schedule had no finding.
+// Runs the random schedule of a seed, with `tell` printing its log. Returns
+// true if there was no finding.
 bool PlayRandom(uint64_t seed, bool tell) {
   SimulationConfig config = RandomConfig(seed);
   config.log_debug = tell;
