--- a/tests/sim/cluster_simulation.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -824,7 +824,7 @@
   size_t node = Pick(config_.nodes);
   bool old_version = config_.begins_with_production && !nodes_[node]->upgraded;
   if (old_version && job.spec.shape == Shape::kService) {
-    // The version in production does not know services.
+    // Services are new; none is submitted to the version in production.
     After(Between(1, 3), [this, id, since] { TrySubmit(id, since); });
     return;
   }
@@ -1723,7 +1723,8 @@
           Violation("accepted_odd", spec.id + " can never run");
         }
       });
-  // Repeats the submission of an accepted job, or cancels one that is done.
+  // Repeats the submission of some job if it was accepted, and cancels it if it
+  // is done.
   auto any =
       std::next(jobs_.begin(), static_cast<ptrdiff_t>(Pick(jobs_.size())));
   if (any->second->accepted) TrySubmit(any->first, now_);
--- a/tests/sim/cluster_simulation.h
+++ b/tests/sim/cluster_simulation.h
@@ -102,8 +102,9 @@
   // the same machines whatever the seed. Otherwise booting takes 1 to 4 s, and
   // 5% of the machines never come up.
   bool quick_boots = false;
-  // Every 0.5 to 2 s users send a submission that must be refused, repeat one
-  // that was accepted, or cancel a job that is done.
+  // Every 0.5 to 2 s a user sends a submission that must be refused; for a job
+  // picked at random, the submission is repeated if it was accepted, and a
+  // cancellation is sent if it is done.
   bool odd_requests = false;
   // Injected faults, to show that the checks detect them.
   bool state_ignores_conditions = false;
@@ -175,7 +176,7 @@
   void SlowNode(size_t index, double seconds);
   void StopCloud(double seconds);
   // Cuts off zone b: its machines and controllers from those of other zones,
-  // and its controllers from the state service and all peers.
+  // and its controllers from users, the state service and all peers.
   void CutZone(double seconds, bool hold);
   void CutMachines(double share, double seconds, bool hold);
   void HangMachines(double share, double seconds);
@@ -184,8 +185,8 @@
   void CutInbound(double share, double seconds);
   void CutOutbound(double share, double seconds);
   void KillMachines(double share);
-  // Users cancel that many running jobs. For each, the machines that run its
-  // tasks hang for `hang_s`; 0: none does.
+  // Users cancel up to that many running jobs. Machines that run their tasks
+  // hang for `hang_s`; 0: none does.
   void CancelNow(int count, double hang_s);
   // From now on, users cancel this share of the jobs within a second of the
   // completion of their last task.
@@ -361,7 +362,7 @@
   // capacity.
   void CheckWaiting();
   bool CouldStart(const JobModel& job) const;
-  // More than half of the jobs of each class and of each team are done, and the
+  // At least half of the jobs of each class and of each team are done, and the
   // largest job of each class has started in time.
   void CheckServed();
   void SendOddRequest();
--- a/tests/sim/simulated_controller.h
+++ b/tests/sim/simulated_controller.h
@@ -69,7 +69,7 @@
     const ControllerSetup& setup);
 
 // Decodes the body of a transaction as the state service gets it. Throws
-// wire::Malformed if the body cannot be decoded.
+// wire::Malformed if the body or a record in it cannot be decoded.
 Transaction DecodeTransaction(const std::string& body);
 
 }  // namespace pitchfall::sim
