--- a/tests/core_environment.h
+++ b/tests/core_environment.h
@@ -16,13 +16,13 @@
 
 struct CoreEnvironment {
   // Rate and burst of all rate limits.
-  static constexpr double kPlenty = 1000;
+  static constexpr double kUnlimitedRate = 1000;
 
   explicit CoreEnvironment(const Deployment& given, uint32_t partitions = 1)
       : deployment(given),
-        requests(kPlenty, kPlenty),
-        writes(kPlenty, kPlenty),
-        cloud(kPlenty, kPlenty),
+        requests(kUnlimitedRate, kUnlimitedRate),
+        writes(kUnlimitedRate, kUnlimitedRate),
+        cloud(kUnlimitedRate, kUnlimitedRate),
         state_watcher(tuning, out, state_cache, requests),
         context{
             deployment,
--- a/tests/fakes/cloud.cc
+++ b/tests/fakes/cloud.cc
@@ -13,12 +13,12 @@
 
 namespace {
 // Limits on decoded messages.
-constexpr size_t kItems = 10000;
-constexpr size_t kDepth = 16;
+constexpr size_t kMaxItems = 10000;
+constexpr size_t kMaxDepth = 16;
 constexpr uint64_t kMaxCreated = 50;  // machines in one request
 }  // namespace
 
-void Cloud::RecordOutcomes(SteadyTime now) {
+void Cloud::RecordSnapshot(SteadyTime now) {
   history_.push_back({now, machines_});
   while (history_.size() > 1 &&
          history_[1].first + 2 * config_.list_lag < now) {
@@ -30,12 +30,12 @@
                       SteadyTime now) {
   auto it = machines_.find(name);
   if (it != machines_.end()) it->second.status = status;
-  RecordOutcomes(now);
+  RecordSnapshot(now);
 }
 
 void Cloud::Remove(const std::string& name, SteadyTime now) {
   machines_.erase(name);
-  RecordOutcomes(now);
+  RecordSnapshot(now);
 }
 
 HttpReply Cloud::Handle(std::string_view method, const std::string& target,
@@ -66,7 +66,7 @@
 }
 
 HttpReply Cloud::CreateInstances(const std::string& body, SteadyTime now) {
-  Message message(body, kItems, kDepth);
+  Message message(body, kMaxItems, kMaxDepth);
   Fields in(message.root());
   std::string request = in.Text("hire");
   uint64_t count = in.Count("count", kMaxCreated);
@@ -75,7 +75,7 @@
   wanted.zone = in.Text("yard");
   wanted.spot = in.Flag("loaners");
   wanted.created = now;
-  if (!answered_.contains(request)) {
+  if (!created_by_request_.contains(request)) {
     size_t used = 0;
     for (const auto& [name, machine] : machines_) {
       used += machine.type == wanted.type && machine.zone == wanted.zone &&
@@ -90,16 +90,16 @@
       if (on_create) on_create(machine);
     }
     if (names.empty()) return Error(503, "no capacity");
-    answered_[request] = names;
-    RecordOutcomes(now);
+    created_by_request_[request] = names;
+    RecordSnapshot(now);
   }
   Packer out;
-  out.Map(1).Key("tines").Value(answered_[request]);
+  out.Map(1).Key("tines").Value(created_by_request_[request]);
   return {200, out.Take()};
 }
 
 HttpReply Cloud::Delete(const std::string& body, SteadyTime now) {
-  Message message(body, kItems, kDepth);
+  Message message(body, kMaxItems, kMaxDepth);
   Fields in(message.root());
   const auto& names = in.List("tines");
   if (names.size > 100) return Error(400, "too many");
@@ -107,7 +107,7 @@
     std::string name = Fields::AsText(names.ptr[i], "tines");
     if (machines_.erase(name) > 0 && on_delete) on_delete(name);
   }
-  RecordOutcomes(now);
+  RecordSnapshot(now);
   return {200, Packer().Map(0).Take()};
 }
 
--- a/tests/fakes/cloud.h
+++ b/tests/fakes/cloud.h
@@ -70,7 +70,7 @@
 
  private:
   // Adds the present machines to the history that the list is read from.
-  void RecordOutcomes(SteadyTime now);
+  void RecordSnapshot(SteadyTime now);
   HttpReply CreateInstances(const std::string& body, SteadyTime now);
   HttpReply Delete(const std::string& body, SteadyTime now);
   HttpReply List(const std::string& target, SteadyTime now);
@@ -80,7 +80,7 @@
   std::map<std::string, Machine> machines_;
   // The machines created for each request by its name, so that a repeated
   // request creates no more.
-  std::map<std::string, std::vector<std::string>> answered_;
+  std::map<std::string, std::vector<std::string>> created_by_request_;
   std::deque<std::pair<SteadyTime, std::map<std::string, Machine>>> history_;
 };
 
--- a/tests/fakes/state_service.cc
+++ b/tests/fakes/state_service.cc
@@ -14,8 +14,8 @@
 namespace {
 
 // Limits on decoded messages.
-constexpr size_t kItems = 100000;
-constexpr size_t kDepth = 32;
+constexpr size_t kMaxItems = 100000;
+constexpr size_t kMaxDepth = 32;
 // Limits of the protocol, in bytes.
 constexpr size_t kMaxTransaction = size_t{64} * 1024;
 constexpr size_t kMaxPage = size_t{512} * 1024;
@@ -93,7 +93,7 @@
       if (entry.lease == it->first) keys.push_back(key);
     }
     if (!keys.empty()) ++revision_;
-    for (const std::string& key : keys) Drop(key);
+    for (const std::string& key : keys) DeleteKey(key);
     it = leases_.erase(it);
   }
 }
@@ -102,7 +102,7 @@
   for (auto& [id, lease] : leases_) lease.ends = now + lease.ttl;
 }
 
-void StateService::Drop(const std::string& key) {
+void StateService::DeleteKey(const std::string& key) {
   if (entries_.erase(key) > 0) log_.push_back({key, false, "", revision_});
 }
 
@@ -116,7 +116,7 @@
     if (method == "GET" && path == "/keys") return List(ParseQuery(target));
     if (method == "GET" && path == "/watch") return Watch(ParseQuery(target));
     if (method == "POST" && path == "/grants") {
-      Message message(body, kItems, kDepth);
+      Message message(body, kMaxItems, kMaxDepth);
       uint64_t ttl = Fields(message.root()).Count("ttl_ms");
       if (ttl < 100 || ttl > 600000) return Error(400, "ttl_ms");
       Duration duration = Millis(static_cast<int64_t>(ttl));
@@ -138,7 +138,7 @@
 }
 
 HttpReply StateService::Transact(const std::string& body, SteadyTime) {
-  Message message(body, kItems, kDepth);
+  Message message(body, kMaxItems, kMaxDepth);
   largest_transaction_ =
       std::max(largest_transaction_, JsonSize(message.root()));
   if (JsonSize(message.root()) > kMaxTransaction) {
@@ -184,7 +184,7 @@
   for (uint32_t i = 0; i < writes.size; ++i) {
     Fields write(writes.ptr[i]);
     if (write.Find("drop") != nullptr) {
-      Drop(write.Text("drop"));
+      DeleteKey(write.Text("drop"));
       continue;
     }
     std::string key = write.Text("put");
--- a/tests/fakes/state_service.h
+++ b/tests/fakes/state_service.h
@@ -72,7 +72,7 @@
   HttpReply Transact(const std::string& body, SteadyTime now);
   HttpReply List(const std::map<std::string, std::string>& query);
   HttpReply Watch(const std::map<std::string, std::string>& query);
-  void Drop(const std::string& key);
+  void DeleteKey(const std::string& key);
 
   Limits limits_;
   size_t largest_transaction_ = 0;
--- a/tests/fakes/worker.cc
+++ b/tests/fakes/worker.cc
@@ -13,8 +13,8 @@
 
 namespace {
 // Limits on decoded messages.
-constexpr size_t kItems = 10000;
-constexpr size_t kDepth = 16;
+constexpr size_t kMaxItems = 10000;
+constexpr size_t kMaxDepth = 16;
 
 bool Occupies(const std::string& state) {
   return state == "running" || state == "flushing";
@@ -29,12 +29,12 @@
 
 Worker::~Worker() {
   for (auto& [key, task] : tasks_) {
-    if (Occupies(task.state)) observer_(key.first, TaskEvent::kOff);
+    if (Occupies(task.state)) observer_(key.first, TaskEvent::kEnded);
   }
 }
 
 void Worker::Exit(Task& task, const Key& key, const std::string& cause) {
-  if (Occupies(task.state)) observer_(key.first, TaskEvent::kOff);
+  if (Occupies(task.state)) observer_(key.first, TaskEvent::kEnded);
   task.state = "exited";
   task.cause = cause;
   changed_ = true;
@@ -44,7 +44,7 @@
   for (auto& [key, task] : tasks_) {
     if (!Occupies(task.state)) continue;
     observer_(key.first, TaskEvent::kLost);
-    observer_(key.first, TaskEvent::kOff);
+    observer_(key.first, TaskEvent::kEnded);
   }
   tasks_.clear();
   ++agent_epoch_;
@@ -68,12 +68,12 @@
       } else {
         task.state = "running";
         task.next = now + task.info.run;
-        observer_(key.first, TaskEvent::kOn);
+        observer_(key.first, TaskEvent::kRunning);
         changed_ = true;
       }
     } else if (task.state == "running") {
       finished_[key.first] = true;
-      observer_(key.first, TaskEvent::kDone);
+      observer_(key.first, TaskEvent::kCompleted);
       Exit(task, key, "done");
     } else {
       task.saved = true;
@@ -111,11 +111,11 @@
   return out.Take();
 }
 
-bool Worker::TakeAnswer(const std::string& body, SteadyTime sent,
-                        uint64_t agent_epoch, SteadyTime now) {
+bool Worker::HandleAnswer(const std::string& body, SteadyTime sent,
+                          uint64_t agent_epoch, SteadyTime now) {
   if (hanging || agent_epoch != agent_epoch_) return false;
   try {
-    Message message(body, kItems, kDepth);
+    Message message(body, kMaxItems, kMaxDepth);
     uint64_t fencing_token = Fields(message.root()).CountOr("baton", 0);
     if (fencing_token < fencing_token_ || fencing_token == 0) return false;
     if (fencing_token > fencing_token_) changed_ = true;
@@ -134,7 +134,7 @@
   if (method != "POST" || path != "/commands")
     return Error(404, "no such path");
   try {
-    Message message(body, kItems, kDepth);
+    Message message(body, kMaxItems, kMaxDepth);
     Fields in(message.root());
     uint64_t fencing_token = in.Count("baton");
     bool current = in.Count("shift") == agent_epoch_;
@@ -150,7 +150,7 @@
 }
 
 void Worker::Execute(const std::string& body_commands, SteadyTime now) {
-  Message message(body_commands, kItems, kDepth);
+  Message message(body_commands, kMaxItems, kMaxDepth);
   const auto& commands = Fields(message.root()).List("orders");
   for (uint32_t i = 0; i < commands.size; ++i) {
     Fields command(commands.ptr[i]);
--- a/tests/fakes/worker.h
+++ b/tests/fakes/worker.h
@@ -47,11 +47,11 @@
   // Describes the named task; none if there is no such task.
   using Lookup = std::function<std::optional<TaskInfo>(const std::string&)>;
   enum class TaskEvent {
-    kLaunched,  // its start command was accepted
-    kOn,        // it begins to occupy the machine
-    kOff,       // it no longer occupies the machine
-    kDone,      // it has completed
-    kLost       // the lease has ended while it ran; kOff follows
+    kLaunched,   // its start command was accepted
+    kRunning,    // it begins to occupy the machine
+    kEnded,      // it no longer occupies the machine
+    kCompleted,  // it has completed
+    kLost        // the lease has ended while it ran; kEnded follows
   };
   using Observer = std::function<void(const std::string& task, TaskEvent)>;
 
@@ -69,8 +69,8 @@
   // `agent_epoch`, and extends the lease from then. Returns false if the answer
   // is dropped: the worker hangs, its epoch has changed, or the fencing token
   // is missing, unreadable or lower than one seen before.
-  bool TakeAnswer(const std::string& body, SteadyTime sent,
-                  uint64_t agent_epoch, SteadyTime now);
+  bool HandleAnswer(const std::string& body, SteadyTime sent,
+                    uint64_t agent_epoch, SteadyTime now);
   // Answers a direct request of a controller.
   HttpReply Handle(std::string_view method, const std::string& path,
                    const std::string& body, SteadyTime now);
--- a/tests/local_cluster/local_cluster.cc
+++ b/tests/local_cluster/local_cluster.cc
@@ -16,7 +16,7 @@
 namespace pitchfall::local_cluster {
 namespace {
 
-constexpr Duration kStep = Millis(50);
+constexpr Duration kTickInterval = Millis(50);
 constexpr Duration kHeartbeatInterval = Millis(500);
 constexpr Duration kHeartbeatTimeout = Millis(4000);
 constexpr Duration kBoot = Millis(300);
@@ -58,19 +58,19 @@
         config.list_lag = Millis(500);
         return config;
       }()) {
-  state_port_ = Serve(state_server_, &LocalCluster::State);
-  cloud_port_ = Serve(cloud_server_, &LocalCluster::Cloud);
+  state_port_ = Serve(state_server_, &LocalCluster::HandleState);
+  cloud_port_ = Serve(cloud_server_, &LocalCluster::HandleCloud);
   cloud_.on_create = [this](const fakes::Cloud::Machine& machine) {
     booting_.push_back({Now() + kBoot, machine});
   };
   cloud_.on_delete = [this](const std::string& name) {
     auto node = machines_.extract(name);
     // Requests of this worker may be in progress, so the next step destroys it.
-    if (!node.empty()) gone_.push_back(std::move(node.mapped()));
+    if (!node.empty()) deleted_machines_.push_back(std::move(node.mapped()));
   };
-  step_.reset(event_new(base, -1, EV_PERSIST, OnStep, this));
-  timeval tv = io::ToTimeval(kStep);
-  event_add(step_.get(), &tv);
+  timer_.reset(event_new(base, -1, EV_PERSIST, OnTimer, this));
+  timeval tv = io::ToTimeval(kTickInterval);
+  event_add(timer_.get(), &tv);
 }
 
 LocalCluster::~LocalCluster() = default;
@@ -94,22 +94,22 @@
   std::string body(evbuffer_get_length(input), '\0');
   evbuffer_copyout(input, body.data(), body.size());
   bool post = evhttp_request_get_command(request) == EVHTTP_REQ_POST;
-  fakes::HttpReply reply = (route->platform->*route->handler)(
+  fakes::HttpReply reply = (route->cluster->*route->handler)(
       post ? "POST" : "GET", evhttp_request_get_uri(request), body);
   evbuffer_add(evhttp_request_get_output_buffer(request), reply.body.data(),
                reply.body.size());
   evhttp_send_reply(request, reply.status, nullptr, nullptr);
 }
 
-fakes::HttpReply LocalCluster::State(std::string_view method,
-                                     const std::string& target,
-                                     const std::string& body) {
+fakes::HttpReply LocalCluster::HandleState(std::string_view method,
+                                           const std::string& target,
+                                           const std::string& body) {
   return state_.Handle(method, target, body, Now());
 }
 
-fakes::HttpReply LocalCluster::Cloud(std::string_view method,
-                                     const std::string& target,
-                                     const std::string& body) {
+fakes::HttpReply LocalCluster::HandleCloud(std::string_view method,
+                                           const std::string& target,
+                                           const std::string& body) {
   return cloud_.Handle(method, target, body, Now());
 }
 
@@ -142,12 +142,12 @@
   machines_[machine.name] = std::move(simulated);
 }
 
-void LocalCluster::OnStep(evutil_socket_t, short, void* arg) {
-  static_cast<LocalCluster*>(arg)->Step();
+void LocalCluster::OnTimer(evutil_socket_t, short, void* arg) {
+  static_cast<LocalCluster*>(arg)->RunDueWork();
 }
 
-void LocalCluster::Step() {
-  gone_.clear();
+void LocalCluster::RunDueWork() {
+  deleted_machines_.clear();
   SteadyTime now = Now();
   for (auto& [at, machine] : std::exchange(booting_, {})) {
     if (now >= at) {
@@ -178,8 +178,8 @@
         simulated.waiting = false;
         simulated.next_heartbeat = now + kHeartbeatInterval;
         if (status == 200) {
-          simulated.worker->TakeAnswer(std::string(body), sent, agent_epoch,
-                                       now);
+          simulated.worker->HandleAnswer(std::string(body), sent, agent_epoch,
+                                         now);
           return;
         }
         std::string owner;
--- a/tests/local_cluster/local_cluster.h
+++ b/tests/local_cluster/local_cluster.h
@@ -1,8 +1,8 @@
 // The fakes of state service, cloud and workers behind real sockets on
 // loopback, for trying out pitchfall by hand and for the test of the real
 // program.
-#ifndef PITCHFALL_TESTS_PLAYGROUND_PLATFORM_H_
-#define PITCHFALL_TESTS_PLAYGROUND_PLATFORM_H_
+#ifndef PITCHFALL_TESTS_LOCAL_CLUSTER_LOCAL_CLUSTER_H_
+#define PITCHFALL_TESTS_LOCAL_CLUSTER_LOCAL_CLUSTER_H_
 
 #include <map>
 #include <memory>
@@ -50,14 +50,16 @@
   // Starts an HTTP server for `handler` and returns its port.
   uint16_t Serve(io::EvhttpHandle& server, Handler handler);
   static void OnRequest(evhttp_request* request, void* arg);
-  static void OnStep(evutil_socket_t, short, void* arg);
-  fakes::HttpReply State(std::string_view method, const std::string& target,
-                         const std::string& body);
-  fakes::HttpReply Cloud(std::string_view method, const std::string& target,
-                         const std::string& body);
+  static void OnTimer(evutil_socket_t, short, void* arg);
+  fakes::HttpReply HandleState(std::string_view method,
+                               const std::string& target,
+                               const std::string& body);
+  fakes::HttpReply HandleCloud(std::string_view method,
+                               const std::string& target,
+                               const std::string& body);
   void Boot(const fakes::Cloud::Machine& machine);
   // Boots machines and advances workers, every 50 ms.
-  void Step();
+  void RunDueWork();
   // Sends a heartbeat; a failed one goes to the owner that the answer names, or
   // to the next controller.
   void Heartbeat(SimulatedMachine& simulated);
@@ -65,7 +67,7 @@
 
   // The argument of the C callback for requests.
   struct Route {
-    LocalCluster* platform;
+    LocalCluster* cluster;
     Handler handler;
   };
 
@@ -82,8 +84,8 @@
   std::vector<std::pair<SteadyTime, fakes::Cloud::Machine>> booting_;
   std::map<std::string, std::unique_ptr<SimulatedMachine>> machines_;
   // Deleted machines, destroyed in the next step.
-  std::vector<std::unique_ptr<SimulatedMachine>> gone_;
-  io::Event step_;
+  std::vector<std::unique_ptr<SimulatedMachine>> deleted_machines_;
+  io::Event timer_;
 };
 
 // Returns a port on loopback that is free at the moment. Throws
@@ -92,4 +94,4 @@
 
 }  // namespace pitchfall::local_cluster
 
-#endif  // PITCHFALL_TESTS_PLAYGROUND_PLATFORM_H_
+#endif  // PITCHFALL_TESTS_LOCAL_CLUSTER_LOCAL_CLUSTER_H_
--- a/tests/local_cluster/main.cc
+++ b/tests/local_cluster/main.cc
@@ -29,11 +29,11 @@
                            fmt::format("127.0.0.1:{}", FreePort()),
                            fmt::format("127.0.0.1:{}", FreePort())});
   }
-  LocalCluster platform(base.get(), controllers, Seconds(task_s));
+  LocalCluster cluster(base.get(), controllers, Seconds(task_s));
   std::filesystem::create_directories(folder);
   for (size_t i = 0; i < controllers.size(); ++i) {
     std::string file = fmt::format("{}/{}.toml", folder, controllers[i].label);
-    std::ofstream(file) << platform.SettingsFor(i);
+    std::ofstream(file) << cluster.SettingsFor(i);
     std::cout << "pitchfall --config " << file
               << "    # users: " << controllers[i].front << "\n";
   }
@@ -42,7 +42,7 @@
   return EXIT_SUCCESS;
 }
 
-int Ask(const std::string& address, wire::HttpRequest request) {
+int SendRequest(const std::string& address, wire::HttpRequest request) {
   io::EventBase base(event_base_new());
   io::HttpClient client(base.get(), io::ParseAddress(address), 1);
   int result = EXIT_FAILURE;
@@ -107,7 +107,7 @@
   if (*submit) request = Submission(id, tasks, cpus);
   if (*poll) request.path = "/api/jobs/" + id;
   if (*cancel) request = {true, "/api/jobs/" + id + "/cancel", ""};
-  return Ask(address, std::move(request));
+  return SendRequest(address, std::move(request));
 }
 
 }  // namespace
--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -22,8 +22,8 @@
 
 // Upgrades the controllers `every` seconds from second `from` on, in an order
 // that the seed determines.
-void Upgrade(ClusterSimulation& simulation, uint64_t seed, double from,
-             double every) {
+void ScheduleUpgrades(ClusterSimulation& simulation, uint64_t seed, double from,
+                      double every) {
   std::vector<size_t> order{0, 1, 2};
   std::mt19937_64 random(seed);
   std::shuffle(order.begin(), order.end(), random);
@@ -36,9 +36,9 @@
   }
 }
 
-TEST(MixedVersions, UpgradeUnderLoad) {
+TEST(MixedVersions, JobsFinishDuringUpgradesUnderLoad) {
   Play(MixedConfig, [](ClusterSimulation& simulation) {
-    Upgrade(simulation, 1, 20, 15);
+    ScheduleUpgrades(simulation, 1, 20, 15);
     simulation.AddServiceAt(70, kService, 4, 2);
     simulation.At(75, [&] { simulation.LowerStateLimits(); });
     simulation.At(130, [&] {
@@ -50,7 +50,7 @@
 
 // A standing job is refused until the last controller of the old version is
 // gone, also if it only is away for a long time.
-TEST(MixedVersions, StandingJobsWaitForTheLastUpgrade) {
+TEST(MixedVersions, StandingJobsAreRefusedUntilTheLastUpgrade) {
   Play(MixedConfig, [](ClusterSimulation& simulation) {
     simulation.At(20, [&] { simulation.UpgradeNode(0, Seconds(1)); });
     simulation.At(25, [&] { simulation.UpgradeNode(1, Seconds(1)); });
@@ -70,7 +70,7 @@
 // A controller that crashes before its upgrade comes back with the old version,
 // after the others have been upgraded and have accepted standing jobs in its
 // absence.
-TEST(MixedVersions, AnOldControllerComesBackAmongNewOnes) {
+TEST(MixedVersions, OldControllerRestartsAmongUpgradedOnes) {
   Play(MixedConfig, [](ClusterSimulation& simulation) {
     simulation.At(20, [&] { simulation.UpgradeNode(0, Seconds(0.2)); });
     simulation.At(25, [&] { simulation.UpgradeNode(1, Seconds(0.2)); });
@@ -96,7 +96,7 @@
 // Upgrades in various orders among random faults: crashes, cuts, outages of the
 // state service, late messages and cancellations. The limits are lowered once
 // all controllers have been upgraded.
-TEST(MixedVersions, KeepTheRulesInRandomSchedules) {
+TEST(MixedVersions, RandomSchedulesBreakNoRule) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     SCOPED_TRACE(seed);
     SimulationConfig config;
@@ -106,7 +106,8 @@
     config.fleet_faults = seed % 3 == 0;
     MixedConfig(config);
     ClusterSimulation simulation(config);
-    Upgrade(simulation, seed, 15, 2 + static_cast<double>(seed % 5) * 4);
+    ScheduleUpgrades(simulation, seed, 15,
+                     2 + static_cast<double>(seed % 5) * 4);
     simulation.AddServiceAt(75, kService, 4, 1);
     simulation.At(80, [&] { simulation.LowerStateLimits(); });
     simulation.CancelAt(240, kService);
@@ -129,7 +130,7 @@
     config.end = Seconds(400);
   };
   Play(prepare, [](ClusterSimulation& simulation) {
-    Upgrade(simulation, 3, 30, 3);
+    ScheduleUpgrades(simulation, 3, 30, 3);
     simulation.At(42, [&] { simulation.LowerStateLimits(); });
     simulation.At(
         55, [&] { simulation.CrashNode(simulation.OwnerOf(0), Seconds(2)); });
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -31,13 +31,13 @@
                               "127.0.0.1:" + std::to_string(FreePort()),
                               "127.0.0.1:" + std::to_string(FreePort())});
     }
-    platform_ =
+    cluster_ =
         std::make_unique<LocalCluster>(base_.get(), controllers_, Millis(300));
     std::string pattern =
         (std::filesystem::temp_directory_path() / "pitchfall-XXXXXX").string();
     folder_ = mkdtemp(pattern.data());
     for (size_t i = 0; i < controllers_.size(); ++i) {
-      std::ofstream(File(i)) << platform_->SettingsFor(i);
+      std::ofstream(SettingsPath(i)) << cluster_->SettingsFor(i);
       pids_.push_back(Spawn(i));
     }
   }
@@ -47,14 +47,14 @@
     std::filesystem::remove_all(folder_);
   }
 
-  std::string File(size_t i) const {
+  std::string SettingsPath(size_t i) const {
     return folder_ + "/" + std::to_string(i) + ".toml";
   }
 
   pid_t Spawn(size_t i) {
     std::string program = PITCHFALL_PROGRAM;
     std::string option = "--config";
-    std::string file = File(i);
+    std::string file = SettingsPath(i);
     char* argv[] = {program.data(), option.data(), file.data(), nullptr};
     pid_t pid = 0;
     EXPECT_EQ(
@@ -71,8 +71,8 @@
 
   // Repeats the request every 100 ms, 600 times at most, until `good` accepts
   // the answer. Returns whether it did.
-  bool Until(size_t node, const wire::HttpRequest& request,
-             const std::function<bool(int, const std::string&)>& good) {
+  bool RepeatUntil(size_t node, const wire::HttpRequest& request,
+                   const std::function<bool(int, const std::string&)>& good) {
     io::HttpClient client(base_.get(),
                           io::ParseAddress(controllers_[node].front), 1);
     for (int tries = 0; tries < 600; ++tries) {
@@ -108,37 +108,37 @@
 
   io::EventBase base_;
   std::vector<Controller> controllers_;
-  std::unique_ptr<LocalCluster> platform_;
+  std::unique_ptr<LocalCluster> cluster_;
   std::string folder_;
   std::vector<pid_t> pids_;
 };
 
 TEST_F(Program, RunsAJobThoughAControllerIsKilled) {
   for (size_t i = 0; i < 3; ++i) {
-    ASSERT_TRUE(
-        Until(i, {false, "/healthz", ""},
-              [](int status, const std::string&) { return status == 200; }));
+    ASSERT_TRUE(RepeatUntil(
+        i, {false, "/healthz", ""},
+        [](int status, const std::string&) { return status == 200; }));
   }
-  ASSERT_TRUE(
-      Until(0, Submission("run-000001"), [](int status, const std::string&) {
-        return status == 201 || status == 200;
-      }));
+  ASSERT_TRUE(RepeatUntil(0, Submission("run-000001"),
+                          [](int status, const std::string&) {
+                            return status == 201 || status == 200;
+                          }));
   Kill(0);
-  EXPECT_TRUE(Until(1, {false, "/api/jobs/run-000001", ""},
-                    [](int status, const std::string& body) {
-                      EXPECT_NE(status, 404);
-                      return status == 200 && Status(body) == "done";
-                    }));
+  EXPECT_TRUE(RepeatUntil(1, {false, "/api/jobs/run-000001", ""},
+                          [](int status, const std::string& body) {
+                            EXPECT_NE(status, 404);
+                            return status == 200 && Status(body) == "done";
+                          }));
   // A repeated submission returns the present status of the job.
-  EXPECT_TRUE(Until(2, Submission("run-000001"),
-                    [](int status, const std::string& body) {
-                      return status == 200 && Status(body) == "done";
-                    }));
+  EXPECT_TRUE(RepeatUntil(2, Submission("run-000001"),
+                          [](int status, const std::string& body) {
+                            return status == 200 && Status(body) == "done";
+                          }));
 }
 
-TEST_F(Program, AnswersWhatItCannotTake) {
+TEST_F(Program, RefusesInvalidRequests) {
   auto expect = [&](const wire::HttpRequest& request, int wanted) {
-    EXPECT_TRUE(Until(
+    EXPECT_TRUE(RepeatUntil(
         1, request,
         [wanted](int status, const std::string&) { return status == wanted; }))
         << request.path << " should be answered " << wanted;
--- a/tests/sim/cluster_simulation.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -18,16 +18,16 @@
 constexpr Duration kHeartbeatTimeout = Millis(4000);
 // The longest time without an answer to a user who polls. The protocol's bound
 // is 90 s; the operators' is 75 s once faults are over.
-constexpr Duration kForgottenAfter = Millis(75000);
+constexpr Duration kMaxTimeWithoutAnswer = Millis(75000);
 // A deleted machine may still be assigned tasks until its deletion is known.
-constexpr Duration kDeletionKnown = Millis(8000);
+constexpr Duration kDeletionVisibleAfter = Millis(8000);
 // The operators' bound on waiting while a suitable machine has capacity.
-constexpr Duration kLeftWaiting = Millis(90000);
+constexpr Duration kMaxWaitBesideCapacity = Millis(90000);
 // The largest job of a class starts within this time.
-constexpr Duration kLargestBegun = Millis(240000);
+constexpr Duration kMaxStartDelayOfLargest = Millis(240000);
 // A start may be in flight when a cancellation is confirmed: it is based on
 // state up to 2 s old, and sent in an answer that the worker accepts for 4 s.
-constexpr Duration kStartOnItsWay = Millis(6500);
+constexpr Duration kMaxStartInFlight = Millis(6500);
 // Longer than any simulation runs.
 constexpr double kEndlessRunS = 1e6;
 constexpr char kLargeJob[] = "run-900000";
@@ -60,7 +60,7 @@
 
 std::string Label(size_t index) { return fmt::format("node-{}", index); }
 
-// Makes a user's request, for ClusterSimulation::Ask.
+// Makes a user's request, for ClusterSimulation::SendRequest.
 using MakeCommand = std::function<Command(RequestId)>;
 
 MakeCommand SubmissionOf(const JobSpec& spec) {
@@ -115,10 +115,10 @@
   // Times at which its user was told; none before.
   std::optional<SteadyTime> accepted;
   bool asked_cancel = false;
-  bool asked_by_name = false;       // by CancelAtEnd or CancelNow
-  std::optional<SteadyTime> begun;  // first start of a task
+  bool asked_by_name = false;             // by CancelAtEnd or CancelNow
+  std::optional<SteadyTime> first_start;  // first start of a task
   int starts = 0;
-  SteadyTime moved{};  // last time that a task started or none could
+  SteadyTime last_progress{};  // last time that a task started or none could
   std::optional<SteadyTime> cancelled;
   std::optional<SteadyTime> told_done;
   std::optional<SteadyTime> answered;  // the last successful poll
@@ -136,7 +136,7 @@
       cloud_(fakes::Cloud::Config{.capacity = config.capacity}) {
   state_.ignore_conditions = config_.state_ignores_conditions;
   cloud_.on_create = [this](const fakes::Cloud::Machine& machine) {
-    Duration boot = config_.quick_boots ? Millis(100) : Between(1, 4);
+    Duration boot = config_.quick_boots ? Millis(100) : RandomDuration(1, 4);
     if (!config_.quick_boots && Chance() < 0.05) return;  // never comes up
     After(boot, [this, machine] {
       if (cloud_.machines().contains(machine.name)) AddMachine(machine);
@@ -149,19 +149,19 @@
   for (size_t i = 0; i < config_.nodes; ++i) {
     nodes_.push_back(std::make_unique<Node>());
     nodes_[i]->index = i;
-    nodes_[i]->skew = Between(0, 0.02);
+    nodes_[i]->skew = RandomDuration(0, 0.02);
     StartNode(i);
   }
   for (int i = 0; i < config_.jobs; ++i) AddJob(i);
   if (config_.fault_interval > Duration(0)) {
-    After(Between(5, 10), [this] { InjectFault(); });
+    After(RandomDuration(5, 10), [this] { InjectFault(); });
   }
   if (config_.inbound_cut_machines > 0)
-    After(Seconds(30), [this] { CutInbound(); });
+    After(Seconds(30), [this] { CutInboundForever(); });
   if (config_.isolate_a_node) After(Seconds(30), [this] { IsolateNode(); });
-  if (config_.crowded) AddCrowd();
+  if (config_.crowded) AddSaturatingLoad();
   if (config_.wide_jobs > 0) AddWideJobs();
-  if (config_.odd_requests) After(Seconds(2), [this] { SendOddRequest(); });
+  if (config_.odd_requests) After(Seconds(2), [this] { SendInvalidRequest(); });
   After(Seconds(1), [this] { CheckForgotten(); });
   After(Seconds(1), [this] { CheckWaiting(); });
 }
@@ -171,14 +171,14 @@
   machines_.clear();
 }
 
-void ClusterSimulation::Note(std::string what) {
+void ClusterSimulation::AppendLog(std::string what) {
   log_.push_back(fmt::format("{:9.3f} {}", ToSeconds(now_ - SteadyTime{}),
                              std::move(what)));
 }
 
 void ClusterSimulation::Violation(const std::string& rule,
                                   const std::string& what) {
-  Note("BROKEN " + rule + ": " + what);
+  AppendLog("BROKEN " + rule + ": " + what);
   violations_.push_back(rule + ": " + what);
 }
 
@@ -199,7 +199,7 @@
   for (const auto& [id, job] : jobs_) {
     if (!job->accepted || job->final()) continue;
     const JobSpec& spec = job->spec;
-    Note(
+    AppendLog(
         fmt::format("not finished: {} tasks={} done={} cpus={} zone={} "
                     "one_zone={} spread={} spot={}",
                     id, spec.tasks, job->finished.size(), job->info.cpus,
@@ -210,7 +210,7 @@
           msgpack::unpack(entry.value.data(), entry.value.size());
       std::ostringstream text;
       text << value.get();
-      Note(key + " " + text.str());
+      AppendLog(key + " " + text.str());
     }
   }
   for (const auto& [key, entry] : state_.entries()) {
@@ -220,7 +220,7 @@
         msgpack::unpack(entry.value.data(), entry.value.size());
     std::ostringstream text;
     text << value.get();
-    Note(key + " " + text.str().substr(0, 300));
+    AppendLog(key + " " + text.str().substr(0, 300));
   }
 }
 
@@ -270,8 +270,9 @@
   bool old_version = RunsProduction(node);
   node.controller = old_version ? MakeProductionController(setup)
                                 : MakeCurrentController(setup);
-  Note(fmt::format("node {} starts, incarnation {}{}", index, node.incarnation,
-                   old_version ? ", version in production" : ""));
+  AppendLog(fmt::format("node {} starts, incarnation {}{}", index,
+                        node.incarnation,
+                        old_version ? ", version in production" : ""));
   uint64_t incarnation = node.incarnation;
   After(Duration(0),
         [this, index, incarnation] { TickNode(index, incarnation); });
@@ -291,7 +292,7 @@
 void ClusterSimulation::CrashNode(size_t index, Duration down) {
   Node& node = *nodes_[index];
   if (!node.controller) return;
-  Note(fmt::format("node {} crashes", index));
+  AppendLog(fmt::format("node {} crashes", index));
   node.controller.reset();
   node.waiting.clear();
   After(down, [this, index] {
@@ -314,10 +315,11 @@
     return;
   }
   if (now_ < node.slow_until && !tick) {
-    After(Between(0.1, 0.6), [this, index, incarnation, i = std::move(input)] {
-      Node& n = *nodes_[index];
-      if (n.controller && n.incarnation == incarnation) Execute(n, i);
-    });
+    After(RandomDuration(0.1, 0.6),
+          [this, index, incarnation, i = std::move(input)] {
+            Node& n = *nodes_[index];
+            if (n.controller && n.incarnation == incarnation) Execute(n, i);
+          });
     return;
   }
   Execute(node, input);
@@ -337,7 +339,7 @@
       ++state_calls_;
       PerformState(node, *call);
     } else if (const auto* told = std::get_if<EncodedPeerMessage>(&output)) {
-      TellPeers(node, *told);
+      SendToPeers(node, *told);
     } else {
       const auto& effect = std::get<Effect>(output);
       worker_calls += std::holds_alternative<WorkerCall>(effect);
@@ -347,15 +349,15 @@
   max_worker_calls_ = std::max(max_worker_calls_, worker_calls);
 }
 
-void ClusterSimulation::TellPeers(const Node& node,
-                                  const EncodedPeerMessage& message) {
+void ClusterSimulation::SendToPeers(const Node& node,
+                                    const EncodedPeerMessage& message) {
   for (size_t i = 0; i < config_.nodes; ++i) {
     if (i == node.index || now_ < peers_refused_until_ ||
         now_ < node.peer_cut_until || now_ < nodes_[i]->peer_cut_until) {
       continue;
     }
     uint64_t incarnation = nodes_[i]->incarnation;
-    After(Hop(), [this, i, incarnation, message] {
+    After(MessageDelay(), [this, i, incarnation, message] {
       Deliver(i, incarnation, message);
     });
   }
@@ -371,7 +373,7 @@
     PerformWorker(node, *worker);
   } else if (const auto* line = std::get_if<LogLine>(&effect)) {
     if (config_.log_debug || line->level != LogLevel::kDebug) {
-      Note(fmt::format("  {}: {}", node.index, line->text));
+      AppendLog(fmt::format("  {}: {}", node.index, line->text));
     }
   }
 }
@@ -415,34 +417,37 @@
   if (now_ < node.state_cut_until) {
     // Delayed messages are carried out when the cut is over.
     if (node.hold) {
-      After(node.state_cut_until - now_ + Hop(), [execute] { execute(); });
+      After(node.state_cut_until - now_ + MessageDelay(),
+            [execute] { execute(); });
     }
     return;
   }
   if (writes && now_ < late_writes_until_ && Chance() < late_writes_) {
-    After(Between(2, 12), [this, execute] {
+    After(RandomDuration(2, 12), [this, execute] {
       if (!state_outage_) execute();
     });
     return;
   }
-  double luck = Chance();
-  if (luck < config_.late_copy) {
-    After(Between(2, 15), [this, execute] {
+  double draw = Chance();
+  if (draw < config_.late_copy) {
+    After(RandomDuration(2, 15), [this, execute] {
       if (!state_outage_) execute();
     });
     return;
   }
-  bool lost = luck < config_.late_copy + config_.lost_reply ||
-              (writes && Disturbed(lost_write_answers_));
-  Duration slow = now_ < state_slow_until_ ? Between(0.1, 0.8) : Duration(0);
-  After(slow + Hop(), [this, execute, answer, lost, index] {
+  bool lost = draw < config_.late_copy + config_.lost_reply ||
+              (writes && DrawFault(lost_write_answers_));
+  Duration slow =
+      now_ < state_slow_until_ ? RandomDuration(0.1, 0.8) : Duration(0);
+  After(slow + MessageDelay(), [this, execute, answer, lost, index] {
     if (state_outage_) {
-      After(Hop(), [answer] { answer(503, ""); });
+      After(MessageDelay(), [answer] { answer(503, ""); });
       return;
     }
     fakes::HttpReply reply = execute();
     if (lost || now_ < nodes_[index]->state_cut_until) return;
-    After(Hop(), [answer, reply] { answer(reply.status, reply.body); });
+    After(MessageDelay(),
+          [answer, reply] { answer(reply.status, reply.body); });
   });
 }
 
@@ -458,12 +463,13 @@
                          now_);
   };
   if (Chance() < config_.late_copy) {
-    After(Between(6, 20), [execute] { execute(); });
+    After(RandomDuration(6, 20), [execute] { execute(); });
     return;
   }
-  After(Between(0.05, 0.3), [this, execute, answer] {
+  After(RandomDuration(0.05, 0.3), [this, execute, answer] {
     fakes::HttpReply reply = execute();
-    After(Hop(), [answer, reply] { answer(reply.status, reply.body); });
+    After(MessageDelay(),
+          [answer, reply] { answer(reply.status, reply.body); });
   });
 }
 
@@ -485,7 +491,8 @@
   };
   if (now_ < node.worker_cut_until) {
     if (node.hold) {
-      After(node.worker_cut_until - now_ + Hop(), [execute] { execute(); });
+      After(node.worker_cut_until - now_ + MessageDelay(),
+            [execute] { execute(); });
     }
     return;
   }
@@ -496,20 +503,22 @@
     if (now_ < until && call.address == "addr-" + name + ":1") return;
   }
   if (std::holds_alternative<CommandWorker>(call.request) &&
-      Disturbed(late_commands_)) {
-    After(Between(2, 16), [execute] { execute(); });
+      DrawFault(late_commands_)) {
+    After(RandomDuration(2, 16), [execute] { execute(); });
     return;
   }
-  After(Hop(), [this, execute, answer] {
+  After(MessageDelay(), [this, execute, answer] {
     auto reply = execute();
     if (!reply) return;
-    After(Hop(), [answer, reply] { answer(reply->status, reply->body); });
+    After(MessageDelay(),
+          [answer, reply] { answer(reply->status, reply->body); });
   });
 }
 
-void ClusterSimulation::Ask(size_t index, const MakeCommand& make,
-                            Duration timeout, const std::string& machine,
-                            const OnAnswer& on_answer) {
+void ClusterSimulation::SendRequest(size_t index, const MakeCommand& make,
+                                    Duration timeout,
+                                    const std::string& machine,
+                                    const OnAnswer& on_answer) {
   auto answered = std::make_shared<bool>(false);
   auto answer = [answered, on_answer](const std::optional<Reply>& reply) {
     if (!std::exchange(*answered, true)) on_answer(reply);
@@ -527,7 +536,7 @@
   }
   if (now_ < cut_until && !hold) return;
   Duration delay = std::max(cut_until - now_, Duration(0));
-  After(delay + Hop(), [this, index, make, answer, worker, machine] {
+  After(delay + MessageDelay(), [this, index, make, answer, worker, machine] {
     Node& n = *nodes_[index];
     if (!n.controller) return;
     RequestId id = ++n.last_request;
@@ -535,7 +544,7 @@
                      machine](const std::optional<Reply>& reply) {
       if (worker && now_ < nodes_[index]->worker_cut_until) return;
       if (CutOff(index, machine)) return;
-      After(Hop(), [answer, reply] { answer(reply); });
+      After(MessageDelay(), [answer, reply] { answer(reply); });
     };
     Deliver(index, n.incarnation, ControllerInput(make(id)));
   });
@@ -580,7 +589,7 @@
   };
   simulated->worker =
       std::make_unique<fakes::Worker>(config, lookup, observer, now_);
-  simulated->node = Pick(config_.nodes);
+  simulated->node = RandomIndex(config_.nodes);
   cloud_.SetStatus(name, "running", now_);
   machines_[name] = std::move(simulated);
   After(Duration(0), [this, name] { StepMachine(name); });
@@ -618,13 +627,15 @@
   };
   if (Chance() < config_.late_heartbeat) {
     // A copy that the network has delayed; its answer is discarded.
-    After(Between(1, config_.late_heartbeat_s), [this, target, make, name] {
-      Ask(target, make, kHeartbeatTimeout, name,
-          [](const std::optional<Reply>&) {});
-    });
+    After(RandomDuration(1, config_.late_heartbeat_s),
+          [this, target, make, name] {
+            SendRequest(target, make, kHeartbeatTimeout, name,
+                        [](const std::optional<Reply>&) {});
+          });
   }
-  if (Disturbed(kept_heartbeats_)) KeepHeartbeat(name, make);
-  Ask(target, make, kHeartbeatTimeout, name,
+  if (DrawFault(kept_heartbeats_)) KeepHeartbeat(name, make);
+  SendRequest(
+      target, make, kHeartbeatTimeout, name,
       [this, name, number, agent_epoch,
        sent](const std::optional<Reply>& given) {
         std::optional<Reply> reply = given;
@@ -632,32 +643,33 @@
         if (it == machines_.end() || it->second->heartbeat_number != number) {
           return;
         }
-        SimulatedMachine& b = *it->second;
+        SimulatedMachine& sender = *it->second;
         auto inbound_cut = inbound_cut_until_.find(name);
         bool hears = inbound_cut == inbound_cut_until_.end() ||
                      now_ >= inbound_cut->second;
         if (inbound_cut_.contains(name) || !hears) reply.reset();
-        b.waiting = false;
-        b.next_heartbeat = now_ + Between(0.75 * config_.heartbeat_s,
-                                          1.25 * config_.heartbeat_s);
+        sender.waiting = false;
+        sender.next_heartbeat =
+            now_ + RandomDuration(0.75 * config_.heartbeat_s,
+                                  1.25 * config_.heartbeat_s);
         if (reply && reply->status == 200) {
           std::string answer = wire::EncodeReplyBody(reply->body);
-          b.worker->TakeAnswer(answer, sent, agent_epoch, now_);
+          sender.worker->HandleAnswer(answer, sent, agent_epoch, now_);
           return;
         }
-        b.next_heartbeat = now_ + Seconds(1);
-        size_t next = (b.node + 1) % config_.nodes;
+        sender.next_heartbeat = now_ + Seconds(1);
+        size_t next = (sender.node + 1) % config_.nodes;
         if (reply && reply->status == 421) {
           const auto* redirect = std::get_if<Redirect>(&reply->body);
           for (size_t i = 0; i < config_.nodes; ++i) {
             if (redirect != nullptr && redirect->owner == Label(i) &&
-                i != b.node) {
+                i != sender.node) {
               next = i;
-              b.next_heartbeat = now_ + Between(0, 0.5);
+              sender.next_heartbeat = now_ + RandomDuration(0, 0.5);
             }
           }
         }
-        b.node = next;
+        sender.node = next;
       });
 }
 
@@ -667,7 +679,7 @@
   size_t slash = task.rfind('/');
   JobModel& job = *jobs_.at(task.substr(0, slash));
   if (event == fakes::Worker::TaskEvent::kLaunched) {
-    if (job.cancelled && now_ > *job.cancelled + kStartOnItsWay) {
+    if (job.cancelled && now_ > *job.cancelled + kMaxStartInFlight) {
       Violation("started_cancelled", task + " launched on " + machine);
     }
     return;
@@ -677,26 +689,27 @@
     return;
   }
   std::set<std::string>& where =
-      task_on_.try_emplace(task, OnMachines{&job, {}}).first->second.machines;
-  if (event == fakes::Worker::TaskEvent::kDone) {
+      task_placements_.try_emplace(task, TaskPlacement{&job, {}})
+          .first->second.machines;
+  if (event == fakes::Worker::TaskEvent::kCompleted) {
     job.finished.insert(
         static_cast<uint32_t>(std::stoul(task.substr(slash + 1))));
     if (job.finished.size() == job.spec.tasks && !job.asked_cancel &&
         Chance() < cancel_at_end_) {
       // About the time at which its end is stored.
-      After(Between(0, 1), [this, id = job.spec.id] { TryCancel(id); });
+      After(RandomDuration(0, 1), [this, id = job.spec.id] { TryCancel(id); });
     }
     return;
   }
-  if (event == fakes::Worker::TaskEvent::kOff) {
+  if (event == fakes::Worker::TaskEvent::kEnded) {
     where.erase(machine);
-    if (where.empty()) task_on_.erase(task);
+    if (where.empty()) task_placements_.erase(task);
     return;
   }
   ++starts_;
   ++job.starts;
-  job.moved = now_;
-  if (!job.begun) job.begun = now_;
+  job.last_progress = now_;
+  if (!job.first_start) job.first_start = now_;
   if (job.cancelled) ++starts_after_cancellation_;
   if (job.spec.id == kLargeJob && !large_begun_) {
     large_begun_ = ToSeconds(now_ - *job.accepted);
@@ -712,7 +725,7 @@
   // Quota and placement, over all tasks that are on machines now.
   double cpus = 0;
   std::map<std::string, uint32_t> zones;
-  for (const auto& [other, on] : task_on_) {
+  for (const auto& [other, on] : task_placements_) {
     if (on.job->spec.team == job.spec.team) {
       cpus += on.job->info.cpus * static_cast<double>(on.machines.size());
     }
@@ -736,7 +749,7 @@
 void ClusterSimulation::CheckCancelled() {
   if (now_ < next_cancel_check_) return;
   next_cancel_check_ = now_ + Millis(20);
-  for (auto& [task, on] : task_on_) {
+  for (auto& [task, on] : task_placements_) {
     if (on.machines.empty() || !on.job->cancelled) continue;
     if (now_ > *on.job->cancelled + deployment_.cancel) {
       Violation("ran_cancelled", task + " on " + *on.machines.begin());
@@ -754,15 +767,15 @@
   spec.id = fmt::format("run-{:06}", number);
   spec.job_class = Chance() < 0.5 ? "fast" : "slow";
   spec.team = Chance() < 0.5 ? "red" : "blue";
-  spec.priority = static_cast<Priority>(Pick(4));
-  spec.tasks = static_cast<uint32_t>(1 + Pick(Chance() < 0.2 ? 30 : 8));
-  job->info.cpus = static_cast<double>(1 + Pick(3));
+  spec.priority = static_cast<Priority>(RandomIndex(4));
+  spec.tasks = static_cast<uint32_t>(1 + RandomIndex(Chance() < 0.2 ? 30 : 8));
+  job->info.cpus = static_cast<double>(1 + RandomIndex(3));
   job->info.memory_gb = 2.7;
-  job->info.image = fmt::format("img-{}", Pick(3));
-  job->info.fetch = Between(0.2, 2);
-  job->info.run = Between(1, config_.longest_run_s);
+  job->info.image = fmt::format("img-{}", RandomIndex(3));
+  job->info.fetch = RandomDuration(0.2, 2);
+  job->info.run = RandomDuration(1, config_.longest_run_s);
   job->info.saves = Chance() < 0.4;
-  job->info.save = job->info.saves ? Between(0.2, 1) : Duration(0);
+  job->info.save = job->info.saves ? RandomDuration(0.2, 1) : Duration(0);
   spec.resources =
       Resources::FromDecimals(job->info.cpus, 0, job->info.memory_gb);
   spec.image = job->info.image;
@@ -773,19 +786,21 @@
   spec.spot = true;
   if (config_.constrained_jobs) {
     spec.spot = Chance() < 0.8;
-    double luck = Chance();
-    if (luck < 0.1) spec.zone = "a";
-    if (luck > 0.85) spec.one_zone = true;
-    if (luck > 0.7 && luck < 0.85) spec.spread = true;
+    double draw = Chance();
+    if (draw < 0.1) spec.zone = "a";
+    if (draw > 0.85) spec.one_zone = true;
+    if (draw > 0.7 && draw < 0.85) spec.spread = true;
   }
   std::string id = spec.id;
   bool cancel = Chance() < config_.cancel_share;
   jobs_[id] = std::move(job);
-  After(Between(0.1, ToSeconds(config_.jobs_within)), [this, id, cancel] {
-    jobs_[id]->submitted = true;
-    TrySubmit(id, now_);
-    if (cancel) After(Between(1, 25), [this, id] { TryCancel(id); });
-  });
+  After(RandomDuration(0.1, ToSeconds(config_.jobs_within)),
+        [this, id, cancel] {
+          jobs_[id]->submitted = true;
+          TrySubmit(id, now_);
+          if (cancel)
+            After(RandomDuration(1, 25), [this, id] { TryCancel(id); });
+        });
 }
 
 void ClusterSimulation::CheckAnswer(JobModel& job, const JobAnswer& answer,
@@ -804,7 +819,7 @@
   bool news = !job.accepted ||
               (answer.status == Status::kCancelled && !job.cancelled) ||
               (answer.status == Status::kDone && !job.told_done);
-  if (news && now_ < watch_closely_until_) AskEverybody(id);
+  if (news && now_ < watch_closely_until_) QueryAllNodes(id);
   if (answer.status == Status::kCancelled) {
     if (!job.asked_cancel) Violation("went_back", id + " cancelled by nobody");
     if (!job.cancelled) job.cancelled = now_;
@@ -821,14 +836,15 @@
 
 void ClusterSimulation::TrySubmit(const std::string& id, SteadyTime since) {
   JobModel& job = *jobs_[id];
-  size_t node = Pick(config_.nodes);
+  size_t node = RandomIndex(config_.nodes);
   bool old_version = config_.begins_with_production && !nodes_[node]->upgraded;
   if (old_version && job.spec.shape == Shape::kService) {
     // Services are new; none is submitted to the version in production.
-    After(Between(1, 3), [this, id, since] { TrySubmit(id, since); });
+    After(RandomDuration(1, 3), [this, id, since] { TrySubmit(id, since); });
     return;
   }
-  Ask(node, SubmissionOf(job.spec), Seconds(5), "",
+  SendRequest(
+      node, SubmissionOf(job.spec), Seconds(5), "",
       [this, id, since, asked = now_](const std::optional<Reply>& reply) {
         JobModel& j = *jobs_[id];
         int status = reply ? reply->status : 0;
@@ -837,10 +853,10 @@
           // the job as accepted.
           bool first = !std::exchange(j.polls, true);
           CheckAnswer(j, std::get<JobAnswer>(reply->body), asked);
-          if (first) After(Between(1, 5), [this, id] { TryPoll(id); });
+          if (first) After(RandomDuration(1, 5), [this, id] { TryPoll(id); });
           // Some users miss the answer and submit again.
           if (Chance() < 0.2) {
-            After(Between(1, 40), [this, id] { TrySubmit(id, now_); });
+            After(RandomDuration(1, 40), [this, id] { TrySubmit(id, now_); });
           }
           return;
         }
@@ -849,86 +865,88 @@
           return;
         }
         if (now_ - since < Seconds(60)) {
-          After(Between(1, 3), [this, id, since] { TrySubmit(id, since); });
+          After(RandomDuration(1, 3),
+                [this, id, since] { TrySubmit(id, since); });
         }
       });
 }
 
 void ClusterSimulation::TryPoll(const std::string& id) {
-  Ask(Pick(config_.nodes), PollOf(id), Seconds(2), "",
-      [this, id, asked = now_](const std::optional<Reply>& reply) {
-        JobModel& job = *jobs_[id];
-        int status = reply ? reply->status : 0;
-        if (status == 200) {
-          CheckAnswer(job, std::get<JobAnswer>(reply->body), asked);
-          NoteAnswered(job);
-        } else if (status == 404) {
-          Violation("forgotten", id + " answered 404");
-        }
-        // Users go on polling after the end, less often.
-        Duration pause = job.final() ? Between(5, 20) : Between(2, 5);
-        if (now_ < storm_until_) {
-          storm_polls_ += 1;
-          storm_answers_ += status == 200;
-          pause = Seconds(ToSeconds(pause) / storm_factor_);
-        }
-        After(pause, [this, id] { TryPoll(id); });
-      });
+  SendRequest(RandomIndex(config_.nodes), PollOf(id), Seconds(2), "",
+              [this, id, asked = now_](const std::optional<Reply>& reply) {
+                JobModel& job = *jobs_[id];
+                int status = reply ? reply->status : 0;
+                if (status == 200) {
+                  CheckAnswer(job, std::get<JobAnswer>(reply->body), asked);
+                  NoteAnswered(job);
+                } else if (status == 404) {
+                  Violation("forgotten", id + " answered 404");
+                }
+                // Users go on polling after the end, less often.
+                Duration pause =
+                    job.final() ? RandomDuration(5, 20) : RandomDuration(2, 5);
+                if (now_ < storm_until_) {
+                  storm_polls_ += 1;
+                  storm_answers_ += status == 200;
+                  pause = Seconds(ToSeconds(pause) / storm_factor_);
+                }
+                After(pause, [this, id] { TryPoll(id); });
+              });
 }
 
 void ClusterSimulation::TryCancel(const std::string& id) {
   jobs_[id]->asked_cancel = true;
-  Ask(Pick(config_.nodes), CancelOf(id), Seconds(5), "",
-      [this, id, asked = now_](const std::optional<Reply>& reply) {
-        JobModel& job = *jobs_[id];
-        if (reply && reply->status == 200) {
-          CheckAnswer(job, std::get<JobAnswer>(reply->body), asked);
-        } else if (reply && reply->status == 404 && job.accepted &&
-                   asked >= *job.accepted) {
-          Violation("forgotten", id + " cancel answered 404");
-        } else if (!reply || reply->status != 404) {
-          After(Between(1, 2), [this, id] { TryCancel(id); });
-        }
-      });
+  SendRequest(RandomIndex(config_.nodes), CancelOf(id), Seconds(5), "",
+              [this, id, asked = now_](const std::optional<Reply>& reply) {
+                JobModel& job = *jobs_[id];
+                if (reply && reply->status == 200) {
+                  CheckAnswer(job, std::get<JobAnswer>(reply->body), asked);
+                } else if (reply && reply->status == 404 && job.accepted &&
+                           asked >= *job.accepted) {
+                  Violation("forgotten", id + " cancel answered 404");
+                } else if (!reply || reply->status != 404) {
+                  After(RandomDuration(1, 2), [this, id] { TryCancel(id); });
+                }
+              });
 }
 
 // ---- Faults ----
 
 void ClusterSimulation::InjectFault() {
   if (now_ - SteadyTime(Seconds(1000)) > config_.faults_until) return;
-  size_t index = Pick(config_.nodes);
+  size_t index = RandomIndex(config_.nodes);
   Node& node = *nodes_[index];
-  switch (Pick(9)) {
+  switch (RandomIndex(9)) {
     case 0:
-      CrashNode(index, Between(0.05, config_.longest_down_s));
+      CrashNode(index, RandomDuration(0.05, config_.longest_down_s));
       break;
     case 1:
       CrashAllNodes();
       break;
     case 2:
-      StopState(Between(1, 12));
+      StopState(RandomDuration(1, 12));
       break;
     case 3:
-      Note(fmt::format("node {} loses the state service", index));
+      AppendLog(fmt::format("node {} loses the state service", index));
       node.hold = Chance() < 0.5;
-      node.state_cut_until = now_ + Between(1, 15);
+      node.state_cut_until = now_ + RandomDuration(1, 15);
       break;
     case 4:
-      Note(fmt::format("node {} loses the workers", index));
+      AppendLog(fmt::format("node {} loses the workers", index));
       node.hold = Chance() < 0.5;
-      node.worker_cut_until = now_ + Between(1, 15);
+      node.worker_cut_until = now_ + RandomDuration(1, 15);
       break;
     case 5:
-      Note(fmt::format("node {} loses the network", index));
+      AppendLog(fmt::format("node {} loses the network", index));
       node.hold = Chance() < 0.5;
-      node.state_cut_until = now_ + Between(1, 15);
+      node.state_cut_until = now_ + RandomDuration(1, 15);
       node.worker_cut_until = node.state_cut_until;
       node.peer_cut_until = node.state_cut_until;
       break;
     case 6:
       if (!machines_.empty()) {
         std::string name = PickMachine();
-        Note(name + " dies");
+        AppendLog(name + " dies");
         machines_.erase(name);
         After(Seconds(10),
               [this, name] { cloud_.SetStatus(name, "failed", now_); });
@@ -937,38 +955,38 @@
     case 7:
       if (!machines_.empty()) {
         std::string name = PickMachine();
-        Note(name + " hangs");
-        Hang(name, Between(1, 12));
+        AppendLog(name + " hangs");
+        Hang(name, RandomDuration(1, 12));
       }
       break;
     default:
-      Note("the cloud is away");
+      AppendLog("the cloud is away");
       cloud_.outage = true;
-      After(Between(1, 20), [this] { cloud_.outage = false; });
+      After(RandomDuration(1, 20), [this] { cloud_.outage = false; });
       break;
   }
-  if (Chance() < 0.4) InjectOneOfMoreFaults(Pick(config_.nodes));
-  if (config_.fleet_faults) InjectFleetFault(Pick(config_.nodes));
-  if (config_.compound_faults) InjectCompoundFault(Pick(config_.nodes));
+  if (Chance() < 0.4) InjectSecondaryFault(RandomIndex(config_.nodes));
+  if (config_.fleet_faults) InjectFleetFault(RandomIndex(config_.nodes));
+  if (config_.compound_faults) InjectCompoundFault(RandomIndex(config_.nodes));
   // The longest of them last 20 s.
-  calm_since_ = now_ + Seconds(20);
+  faults_over_at_ = now_ + Seconds(20);
   double mean = ToSeconds(config_.fault_interval);
-  After(Between(0.2 * mean, 1.8 * mean), [this] { InjectFault(); });
+  After(RandomDuration(0.2 * mean, 1.8 * mean), [this] { InjectFault(); });
 }
 
 void ClusterSimulation::StopState(Duration how_long) {
-  Note("the state service is away");
+  AppendLog("the state service is away");
   state_outage_ = true;
   After(how_long, [this] {
     state_outage_ = false;
     state_.RenewAll(now_);
-    Note("the state service is back");
+    AppendLog("the state service is back");
   });
 }
 
 void ClusterSimulation::CrashAllNodes() {
   for (size_t i = 0; i < config_.nodes; ++i) {
-    CrashNode(i, Between(0.05, config_.longest_down_s));
+    CrashNode(i, RandomDuration(0.05, config_.longest_down_s));
   }
 }
 
@@ -978,7 +996,7 @@
 }
 
 void ClusterSimulation::LowerStateLimits() {
-  Note("the state service has its announced limits");
+  AppendLog("the state service has its announced limits");
   state_.set_limits({config_.next_txn_ops, config_.next_value_kb, 10000});
 }
 
@@ -1000,8 +1018,8 @@
 
 void ClusterSimulation::CutNode(size_t index, Cut cut, double seconds) {
   Node& node = *nodes_[index];
-  Note(fmt::format("node {} cut: state={} workers={} peers={} hold={}", index,
-                   cut.state, cut.workers, cut.peers, cut.hold));
+  AppendLog(fmt::format("node {} cut: state={} workers={} peers={} hold={}",
+                        index, cut.state, cut.workers, cut.peers, cut.hold));
   SteadyTime until = now_ + Seconds(seconds);
   node.hold = cut.hold;
   if (cut.state) node.state_cut_until = until;
@@ -1010,34 +1028,34 @@
 }
 
 void ClusterSimulation::LateWrites(double share, double seconds) {
-  Note("writes are carried out late");
+  AppendLog("writes are carried out late");
   late_writes_ = share;
   late_writes_until_ = now_ + Seconds(seconds);
 }
 
 void ClusterSimulation::LoseWriteAnswers(double share, double seconds) {
-  Note("answers to writes are lost");
+  AppendLog("answers to writes are lost");
   lost_write_answers_ = {share, now_ + Seconds(seconds)};
 }
 
 void ClusterSimulation::DelayCommands(double share, double seconds) {
-  Note("direct commands are held up");
+  AppendLog("direct commands are held up");
   late_commands_ = {share, now_ + Seconds(seconds)};
 }
 
 void ClusterSimulation::KeepHeartbeatsForNextOwner(double share, double seconds,
                                                    double delay_s) {
-  Note("copies of reports are kept for the next owner");
+  AppendLog("copies of reports are kept for the next owner");
   kept_heartbeats_ = {share, now_ + Seconds(seconds)};
   kept_heartbeats_delay_ = Seconds(delay_s);
 }
 
 void ClusterSimulation::WatchAnswersClosely(double seconds) {
-  Note("users ask everybody after each answer that is news");
+  AppendLog("users ask everybody after each answer that is news");
   watch_closely_until_ = now_ + Seconds(seconds);
 }
 
-bool ClusterSimulation::Disturbed(const FaultWindow& window) {
+bool ClusterSimulation::DrawFault(const FaultWindow& window) {
   return now_ < window.until && Chance() < window.share;
 }
 
@@ -1067,24 +1085,25 @@
   }
   After(kept_heartbeats_delay_, [this, machine, heartbeat] {
     for (size_t i = 0; i < config_.nodes; ++i) {
-      Ask(i, heartbeat, kHeartbeatTimeout, machine,
-          [](const std::optional<Reply>&) {});
+      SendRequest(i, heartbeat, kHeartbeatTimeout, machine,
+                  [](const std::optional<Reply>&) {});
     }
   });
 }
 
-void ClusterSimulation::AskEverybody(const std::string& id) {
+void ClusterSimulation::QueryAllNodes(const std::string& id) {
   for (size_t i = 0; i < config_.nodes; ++i) {
     for (int times = 0; times < 3; ++times) {
-      After(Between(0, 0.03), [this, i, id] { PollOnce(i, id); });
+      After(RandomDuration(0, 0.03), [this, i, id] { PollOnce(i, id); });
     }
-    After(Between(0, 0.03), [this, i, id] { SubmitOnce(i, id); });
+    After(RandomDuration(0, 0.03), [this, i, id] { SubmitOnce(i, id); });
   }
   if (Chance() < 0.1) After(Millis(1), [this, id] { TryCancel(id); });
 }
 
 void ClusterSimulation::PollOnce(size_t index, const std::string& id) {
-  Ask(index, PollOf(id), Seconds(2), "",
+  SendRequest(
+      index, PollOf(id), Seconds(2), "",
       [this, id, asked = now_](const std::optional<Reply>& reply) {
         JobModel& job = *jobs_[id];
         int status = reply ? reply->status : 0;
@@ -1098,7 +1117,8 @@
 
 void ClusterSimulation::SubmitOnce(size_t index, const std::string& id) {
   JobModel& job = *jobs_[id];
-  Ask(index, SubmissionOf(job.spec), Seconds(5), "",
+  SendRequest(
+      index, SubmissionOf(job.spec), Seconds(5), "",
       [this, id, asked = now_](const std::optional<Reply>& reply) {
         int status = reply ? reply->status : 0;
         if (status == 200 || status == 201) {
@@ -1110,28 +1130,28 @@
 }
 
 void ClusterSimulation::SlowState(double seconds) {
-  Note("the state service is slow");
+  AppendLog("the state service is slow");
   state_slow_until_ = now_ + Seconds(seconds);
 }
 
 void ClusterSimulation::FreezeNode(size_t index, double seconds) {
-  Note(fmt::format("node {} stands still", index));
+  AppendLog(fmt::format("node {} stands still", index));
   nodes_[index]->frozen_until = now_ + Seconds(seconds);
 }
 
 void ClusterSimulation::SlowNode(size_t index, double seconds) {
-  Note(fmt::format("node {} is slow", index));
+  AppendLog(fmt::format("node {} is slow", index));
   nodes_[index]->slow_until = now_ + Seconds(seconds);
 }
 
 void ClusterSimulation::StopCloud(double seconds) {
-  Note("the cloud is away");
+  AppendLog("the cloud is away");
   cloud_.outage = true;
   After(Seconds(seconds), [this] { cloud_.outage = false; });
 }
 
 void ClusterSimulation::CutZone(double seconds, bool hold) {
-  Note("zone b is cut off from everything");
+  AppendLog("zone b is cut off from everything");
   zone_cut_until_ = now_ + Seconds(seconds);
   zone_hold_ = hold;
   for (size_t i = 1; i < config_.nodes; i += 2) {
@@ -1140,7 +1160,7 @@
 }
 
 void ClusterSimulation::CutMachines(double share, double seconds, bool hold) {
-  Note("many machines are cut off");
+  AppendLog("many machines are cut off");
   zone_hold_ = hold;
   for (const std::string& name : PickMachines(share)) {
     cut_until_[name] = now_ + Seconds(seconds);
@@ -1148,21 +1168,21 @@
 }
 
 void ClusterSimulation::HangMachines(double share, double seconds) {
-  Note("many machines hang");
+  AppendLog("many machines hang");
   for (const std::string& name : PickMachines(share)) {
     Hang(name, Seconds(seconds));
   }
 }
 
 void ClusterSimulation::CutInbound(double share, double seconds) {
-  Note("machines hear nothing");
+  AppendLog("machines hear nothing");
   for (const std::string& name : PickMachines(share)) {
     inbound_cut_until_[name] = now_ + Seconds(seconds);
   }
 }
 
 void ClusterSimulation::CutOutbound(double share, double seconds) {
-  Note("machines reach no controller");
+  AppendLog("machines reach no controller");
   for (const std::string& name : PickMachines(share)) {
     outbound_cut_until_[name] = now_ + Seconds(seconds);
   }
@@ -1170,7 +1190,7 @@
 
 void ClusterSimulation::KillMachines(double share) {
   for (const std::string& name : PickMachines(share)) {
-    Note(name + " dies");
+    AppendLog(name + " dies");
     machines_.erase(name);
     After(Seconds(10),
           [this, name] { cloud_.SetStatus(name, "failed", now_); });
@@ -1178,9 +1198,9 @@
 }
 
 void ClusterSimulation::CancelNow(int count, double hang_s) {
-  Note("users call jobs off");
+  AppendLog("users call jobs off");
   std::set<std::string> chosen;
-  for (const auto& [task, on] : task_on_) {
+  for (const auto& [task, on] : task_placements_) {
     if (on.machines.empty() || on.job->asked_cancel || on.job->final()) {
       continue;
     }
@@ -1190,7 +1210,7 @@
   }
   for (const std::string& id : chosen) {
     jobs_[id]->asked_cancel = true;
-    After(Between(0, 0.2), [this, id] { TryCancel(id); });
+    After(RandomDuration(0, 0.2), [this, id] { TryCancel(id); });
   }
 }
 
@@ -1225,20 +1245,20 @@
 }
 
 void ClusterSimulation::PollStorm(double factor, double seconds) {
-  Note("users ask many times as often");
+  AppendLog("users ask many times as often");
   storm_factor_ = factor;
   storm_until_ = now_ + Seconds(seconds);
-  AskAboutNobodysJob();
+  PollUnknownJob();
 }
 
-void ClusterSimulation::AskAboutNobodysJob() {
+void ClusterSimulation::PollUnknownJob() {
   if (now_ >= storm_until_) return;
-  std::string id = fmt::format("run-96{:04}", Pick(10000));
-  Ask(Pick(config_.nodes), PollOf(id), Seconds(2), "",
-      [this, id](const std::optional<Reply>& reply) {
-        if (reply && reply->status == 200) Violation("invented", id);
-      });
-  After(Millis(20), [this] { AskAboutNobodysJob(); });
+  std::string id = fmt::format("run-96{:04}", RandomIndex(10000));
+  SendRequest(RandomIndex(config_.nodes), PollOf(id), Seconds(2), "",
+              [this, id](const std::optional<Reply>& reply) {
+                if (reply && reply->status == 200) Violation("invented", id);
+              });
+  After(Millis(20), [this] { PollUnknownJob(); });
 }
 
 bool ClusterSimulation::done(const std::string& job) const {
@@ -1248,8 +1268,8 @@
 std::optional<double> ClusterSimulation::begun_after(
     const std::string& job) const {
   const JobModel& model = *jobs_.at(job);
-  if (!model.begun || !model.accepted) return std::nullopt;
-  return ToSeconds(*model.begun - *model.accepted);
+  if (!model.first_start || !model.accepted) return std::nullopt;
+  return ToSeconds(*model.first_start - *model.accepted);
 }
 
 size_t ClusterSimulation::quarantines(bool faulty) const {
@@ -1283,38 +1303,38 @@
 
 const std::string& ClusterSimulation::PickMachine() {
   auto it = std::next(machines_.begin(),
-                      static_cast<ptrdiff_t>(Pick(machines_.size())));
+                      static_cast<ptrdiff_t>(RandomIndex(machines_.size())));
   return it->first;
 }
 
 // Faults of single controllers and of their connections, and a restart of a
 // machine.
-void ClusterSimulation::InjectOneOfMoreFaults(size_t index) {
+void ClusterSimulation::InjectSecondaryFault(size_t index) {
   Node& node = *nodes_[index];
-  switch (Pick(6)) {
+  switch (RandomIndex(6)) {
     case 0:
-      Note("controllers refuse each other's connections");
-      peers_refused_until_ = now_ + Between(1, 20);
+      AppendLog("controllers refuse each other's connections");
+      peers_refused_until_ = now_ + RandomDuration(1, 20);
       break;
     case 1:
-      Note("the state service is slow");
-      state_slow_until_ = now_ + Between(1, 20);
+      AppendLog("the state service is slow");
+      state_slow_until_ = now_ + RandomDuration(1, 20);
       break;
     case 2:
-      Note(fmt::format("node {} is slow", index));
-      node.slow_until = now_ + Between(1, 20);
+      AppendLog(fmt::format("node {} is slow", index));
+      node.slow_until = now_ + RandomDuration(1, 20);
       break;
     case 3:
-      Note(fmt::format("node {} keeps only its workers", index));
+      AppendLog(fmt::format("node {} keeps only its workers", index));
       node.hold = Chance() < 0.5;
-      node.state_cut_until = now_ + Between(1, 20);
+      node.state_cut_until = now_ + RandomDuration(1, 20);
       node.peer_cut_until = node.state_cut_until;
       break;
     case 4: {
       // It is back almost at once, and crashes again while it recovers.
-      CrashNode(index, Between(0.02, 0.3));
-      After(Between(0.3, 1.5),
-            [this, index] { CrashNode(index, Between(0.02, 0.3)); });
+      CrashNode(index, RandomDuration(0.02, 0.3));
+      After(RandomDuration(0.3, 1.5),
+            [this, index] { CrashNode(index, RandomDuration(0.02, 0.3)); });
       break;
     }
     default:
@@ -1333,14 +1353,14 @@
 
 // Faults that affect a large part of the fleet or all controllers.
 void ClusterSimulation::InjectFleetFault(size_t index) {
-  switch (Pick(5)) {
+  switch (RandomIndex(5)) {
     case 0:
-      Note(fmt::format("node {} stands still", index));
-      nodes_[index]->frozen_until = now_ + Between(5, 25);
+      AppendLog(fmt::format("node {} stands still", index));
+      nodes_[index]->frozen_until = now_ + RandomDuration(5, 25);
       break;
     case 1:
-      Note("zone b is cut off from everything");
-      zone_cut_until_ = now_ + Between(3, 18);
+      AppendLog("zone b is cut off from everything");
+      zone_cut_until_ = now_ + RandomDuration(3, 18);
       zone_hold_ = Chance() < 0.5;
       for (size_t i = 1; i < config_.nodes; i += 2) {
         nodes_[i]->hold = zone_hold_;
@@ -1349,21 +1369,21 @@
       }
       break;
     case 2:
-      Note("many machines are cut off");
+      AppendLog("many machines are cut off");
       zone_hold_ = Chance() < 0.5;
       for (const std::string& name : PickMachines(0.4)) {
-        cut_until_[name] = now_ + Between(3, 18);
+        cut_until_[name] = now_ + RandomDuration(3, 18);
       }
       break;
     case 3:
-      Note("many machines hang");
+      AppendLog("many machines hang");
       for (const std::string& name : PickMachines(0.4)) {
-        Hang(name, Between(3, 15));
+        Hang(name, RandomDuration(3, 15));
       }
       break;
     default:
-      Note("all restart while the state service is away");
-      StopState(Between(3, 12));
+      AppendLog("all restart while the state service is away");
+      StopState(RandomDuration(3, 12));
       CrashAllNodes();
       break;
   }
@@ -1371,41 +1391,41 @@
 
 // The overlapping failures that the operators have listed.
 void ClusterSimulation::InjectCompoundFault(size_t index) {
-  switch (Pick(11)) {
+  switch (RandomIndex(11)) {
     case 0:
-      LateWrites(0.3, ToSeconds(Between(5, 15)));
+      LateWrites(0.3, ToSeconds(RandomDuration(5, 15)));
       break;
     case 7:
-      LoseWriteAnswers(0.4, ToSeconds(Between(3, 15)));
+      LoseWriteAnswers(0.4, ToSeconds(RandomDuration(3, 15)));
       break;
     case 8:
-      DelayCommands(0.6, ToSeconds(Between(5, 18)));
+      DelayCommands(0.6, ToSeconds(RandomDuration(5, 18)));
       break;
     case 9:
-      KeepHeartbeatsForNextOwner(0.2, 18, ToSeconds(Between(0, 3)));
+      KeepHeartbeatsForNextOwner(0.2, 18, ToSeconds(RandomDuration(0, 3)));
       break;
     case 10:
       WatchAnswersClosely(15);
       break;
     case 1:
-      CutInbound(0.3, ToSeconds(Between(3, 18)));
+      CutInbound(0.3, ToSeconds(RandomDuration(3, 18)));
       break;
     case 2:
-      CutOutbound(0.4, ToSeconds(Between(3, 18)));
+      CutOutbound(0.4, ToSeconds(RandomDuration(3, 18)));
       break;
     case 3:
       CutNode(index, {.state = true, .peers = true, .hold = Chance() < 0.5},
-              ToSeconds(Between(5, 18)));
+              ToSeconds(RandomDuration(5, 18)));
       break;
     case 4:
-      CancelNow(3, Chance() < 0.5 ? ToSeconds(Between(1, 5)) : 0);
+      CancelNow(3, Chance() < 0.5 ? ToSeconds(RandomDuration(1, 5)) : 0);
       break;
     case 5:
       // The leader loses the state service just before cancellations, and then
       // everyone does.
       CutNode(OwnerOf(0), {.state = true}, 5);
       CancelNow(3, 0);
-      After(Seconds(1), [this] { StopState(Between(5, 17)); });
+      After(Seconds(1), [this] { StopState(RandomDuration(5, 17)); });
       break;
     default:
       CancelAtEnd(0.3);
@@ -1419,20 +1439,20 @@
   std::string name = PickMachine();
   auto created = cloud_.machines().find(name);
   if (created == cloud_.machines().end()) return;
-  Note(name + " restarts");
+  AppendLog(name + " restarts");
   machines_.erase(name);
-  After(Between(0.05, 0.8), [this, name, machine = created->second] {
+  After(RandomDuration(0.05, 0.8), [this, name, machine = created->second] {
     if (cloud_.machines().contains(name) && !machines_.contains(name)) {
       AddMachine(machine);
     }
   });
 }
 
-void ClusterSimulation::CutInbound() {
+void ClusterSimulation::CutInboundForever() {
   for (const auto& [name, simulated] : machines_) {
     if (static_cast<int>(inbound_cut_.size()) >= config_.inbound_cut_machines)
       break;
-    Note(name + " hears nothing any more");
+    AppendLog(name + " hears nothing any more");
     inbound_cut_.insert(name);
   }
   // Several leases later they must have been deleted.
@@ -1446,19 +1466,19 @@
 void ClusterSimulation::IsolateNode() {
   constexpr size_t kIsolated = 1;
   Node& node = *nodes_[kIsolated];
-  Note("node 1 keeps only its workers and users");
+  AppendLog("node 1 keeps only its workers and users");
   node.state_cut_until = now_ + Seconds(30);
   node.peer_cut_until = node.state_cut_until;
   // After two failed health checks the load balancer sends no users there.
   After(Seconds(4), [this] {
-    Ask(
+    SendRequest(
         kIsolated, [](RequestId id) -> Command { return HealthCheck{id}; },
         Seconds(1), "",
         [this](const std::optional<Reply>& reply) {
           isolated_said_unhealthy_ = reply && reply->status == 503;
         });
     // Users who are still connected must be told to close the connection.
-    Ask(
+    SendRequest(
         kIsolated,
         [](RequestId id) -> Command {
           return PollJob{id, "run-000000"};
@@ -1495,8 +1515,8 @@
 
 int ClusterSimulation::replicas_up(const std::string& id) const {
   return static_cast<int>(
-      std::ranges::count_if(task_on_, [&](const auto& entry) {
-        const OnMachines& on = entry.second;
+      std::ranges::count_if(task_placements_, [&](const auto& entry) {
+        const TaskPlacement& on = entry.second;
         return on.job->spec.id == id && !on.machines.empty();
       }));
 }
@@ -1540,7 +1560,7 @@
 
 // Keeps the cluster full: small jobs of high priority use up the team's limit,
 // and one large job of low priority needs part of it too.
-void ClusterSimulation::AddCrowd() {
+void ClusterSimulation::AddSaturatingLoad() {
   auto add = [this](const std::string& id, Priority priority, uint32_t tasks,
                     double run, double at) {
     AddPlainJob(id, tasks, run).spec.priority = priority;
@@ -1558,12 +1578,12 @@
 void ClusterSimulation::NoteAnswered(JobModel& job) { job.answered = now_; }
 
 // Users poll each job every few seconds, and must get an answer within
-// kForgottenAfter, whatever else the controllers have to do.
+// kMaxTimeWithoutAnswer, whatever else the controllers have to do.
 void ClusterSimulation::CheckForgotten() {
   for (auto& [id, job] : jobs_) {
     if (!job->polls || !job->answered) continue;
-    SteadyTime since = std::max(*job->answered, calm_since_);
-    if (now_ - since <= kForgottenAfter) continue;
+    SteadyTime since = std::max(*job->answered, faults_over_at_);
+    if (now_ - since <= kMaxTimeWithoutAnswer) continue;
     Violation("forgotten", id + " gets no answer");
     job->answered.reset();  // reports it once
   }
@@ -1579,11 +1599,12 @@
     if (segment == nullptr) continue;
     for (const auto& entry : segment->entries) {
       for (const Assignment& a : entry.record.assigned) {
-        if (!bound_.insert({entry.job, a.task, a.attempt}).second) continue;
+        if (!seen_assignments_.insert({entry.job, a.task, a.attempt}).second)
+          continue;
         auto deleted = deleted_.find(a.machine);
         // The deletion may not be known yet.
         if (deleted == deleted_.end() ||
-            now_ - deleted->second < kDeletionKnown) {
+            now_ - deleted->second < kDeletionVisibleAfter) {
           continue;
         }
         Violation("revived", fmt::format("{}/{} bound to {}", entry.job, a.task,
@@ -1613,7 +1634,7 @@
   double team = 0;
   std::map<std::string, double> used;
   std::map<std::string, uint32_t> zones;
-  for (const auto& [task, where] : task_on_) {
+  for (const auto& [task, where] : task_placements_) {
     for (const std::string& machine : where.machines) {
       used[machine] += where.job->info.cpus;
       if (where.job->spec.team == spec.team) team += where.job->info.cpus;
@@ -1648,12 +1669,13 @@
   for (auto& [id, job] : jobs_) {
     if (!job->accepted || job->final() || job->asked_cancel) continue;
     if (job->info.broken) continue;
-    job->moved = std::max({job->moved, *job->accepted, calm_since_});
-    if (now_ < job->moved) continue;
-    if (!CouldStart(*job)) job->moved = now_;
-    if (now_ - job->moved <= kLeftWaiting) continue;
+    job->last_progress =
+        std::max({job->last_progress, *job->accepted, faults_over_at_});
+    if (now_ < job->last_progress) continue;
+    if (!CouldStart(*job)) job->last_progress = now_;
+    if (now_ - job->last_progress <= kMaxWaitBesideCapacity) continue;
     Violation("left_waiting", id + " beside a machine with room");
-    job->moved = now_ + Seconds(1000);  // reports it once
+    job->last_progress = now_ + Seconds(1000);  // reports it once
   }
   After(Seconds(1), [this] { CheckWaiting(); });
 }
@@ -1671,7 +1693,7 @@
          {"class " + job->spec.job_class, "team " + job->spec.team}) {
       counts[of].accepted += 1;
       bool served = job->spec.shape == Shape::kService
-                        ? job->begun.has_value()
+                        ? job->first_start.has_value()
                         : job->told_done.has_value();
       counts[of].served += served;
     }
@@ -1684,9 +1706,10 @@
               fmt::format("{}: {} of {}", of, count.served, count.accepted));
   }
   for (const auto& [name, job] : largest) {
-    if (now_ - *job->accepted < kLargestBegun) continue;
-    SteadyTime due = std::max(*job->accepted, calm_since_) + kLargestBegun;
-    if (!job->begun || *job->begun > due) {
+    if (now_ - *job->accepted < kMaxStartDelayOfLargest) continue;
+    SteadyTime due =
+        std::max(*job->accepted, faults_over_at_) + kMaxStartDelayOfLargest;
+    if (!job->first_start || *job->first_start > due) {
       Violation("unserved", job->spec.id + " has not begun");
     }
   }
@@ -1695,9 +1718,9 @@
 // Sends a submission that no controller may accept: an unknown team, more CPUs
 // than any machine has, or a zone that no machine type has. (Tests of the codec
 // cover missing fields.)
-void ClusterSimulation::SendOddRequest() {
+void ClusterSimulation::SendInvalidRequest() {
   JobSpec spec;
-  spec.id = fmt::format("run-95{:04}", Pick(10000));
+  spec.id = fmt::format("run-95{:04}", RandomIndex(10000));
   spec.job_class = "odd";
   spec.team = "red";
   spec.tasks = 2;
@@ -1705,7 +1728,7 @@
   spec.image = "img-0";
   spec.estimate = Seconds(1);
   spec.spot = true;
-  switch (Pick(3)) {
+  switch (RandomIndex(3)) {
     case 0:
       spec.team = "nobody";
       break;
@@ -1716,20 +1739,20 @@
       spec.zone = "nowhere";
       break;
   }
-  Ask(Pick(config_.nodes), SubmissionOf(spec), Seconds(5), "",
-      [this, spec](const std::optional<Reply>& reply) {
-        int status = reply ? reply->status : 0;
-        if (status == 200 || status == 201) {
-          Violation("accepted_odd", spec.id + " can never run");
-        }
-      });
+  SendRequest(RandomIndex(config_.nodes), SubmissionOf(spec), Seconds(5), "",
+              [this, spec](const std::optional<Reply>& reply) {
+                int status = reply ? reply->status : 0;
+                if (status == 200 || status == 201) {
+                  Violation("accepted_odd", spec.id + " can never run");
+                }
+              });
   // Repeats the submission of some job if it was accepted, and cancels it if it
   // is done.
-  auto any =
-      std::next(jobs_.begin(), static_cast<ptrdiff_t>(Pick(jobs_.size())));
+  auto any = std::next(jobs_.begin(),
+                       static_cast<ptrdiff_t>(RandomIndex(jobs_.size())));
   if (any->second->accepted) TrySubmit(any->first, now_);
   if (any->second->told_done) TryCancel(any->first);
-  After(Between(0.5, 2), [this] { SendOddRequest(); });
+  After(RandomDuration(0.5, 2), [this] { SendInvalidRequest(); });
 }
 
 }  // namespace pitchfall::sim
--- a/tests/sim/cluster_simulation.h
+++ b/tests/sim/cluster_simulation.h
@@ -219,7 +219,7 @@
   void PollStorm(double factor, double seconds);
   // From that second on, the checks that only hold once faults are over take
   // them to be over.
-  void CalmFrom(double second) { calm_since_ = now_ + Seconds(second); }
+  void CalmFrom(double second) { faults_over_at_ = now_ + Seconds(second); }
 
   // The broken rules, as "rule: details".
   const std::vector<std::string>& violations() const { return violations_; }
@@ -289,13 +289,13 @@
   Now ClockOf(const Node& node) const;
   void After(Duration delay, std::function<void()> what);
   double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  Duration Between(double low_s, double high_s) {
+  Duration RandomDuration(double low_s, double high_s) {
     return Seconds(std::uniform_real_distribution<>(low_s, high_s)(random_));
   }
-  size_t Pick(size_t n) {
+  size_t RandomIndex(size_t n) {
     return std::uniform_int_distribution<size_t>(0, n - 1)(random_);
   }
-  Duration Hop() { return Between(0.001, 0.01); }
+  Duration MessageDelay() { return RandomDuration(0.001, 0.01); }
 
   // Controllers. An incarnation tells a controller from its predecessors before
   // a crash.
@@ -304,7 +304,7 @@
   void TickNode(size_t index, uint64_t incarnation);
   void Deliver(size_t index, uint64_t incarnation, ControllerInput input);
   void Execute(Node& node, const ControllerInput& input);
-  void TellPeers(const Node& node, const EncodedPeerMessage& message);
+  void SendToPeers(const Node& node, const EncodedPeerMessage& message);
   void Perform(Node& node, const Effect& effect);
   using Answer = std::function<void(int, const std::string&)>;
   template <typename Call, typename Decode>
@@ -317,8 +317,8 @@
   using MakeCommand = std::function<Command(RequestId)>;
   // Sends a request to a controller as a client would. `machine` names the
   // worker that sends it; it is empty for users.
-  void Ask(size_t index, const MakeCommand& make, Duration timeout,
-           const std::string& machine, const OnAnswer& on_answer);
+  void SendRequest(size_t index, const MakeCommand& make, Duration timeout,
+                   const std::string& machine, const OnAnswer& on_answer);
 
   // Machines.
   void AddMachine(const fakes::Cloud::Machine& machine);
@@ -337,7 +337,7 @@
   void CheckAnswer(JobModel& job, const JobAnswer& answer, SteadyTime asked);
 
   void InjectFault();
-  void InjectOneOfMoreFaults(size_t index);
+  void InjectSecondaryFault(size_t index);
   void InjectFleetFault(size_t index);
   void InjectCompoundFault(size_t index);
   void CrashAllNodes();
@@ -348,9 +348,9 @@
   bool CutOff(size_t index, const std::string& machine) const;
   const std::string& PickMachine();
   void RestartMachine();
-  void CutInbound();
+  void CutInboundForever();
   void IsolateNode();
-  void AddCrowd();
+  void AddSaturatingLoad();
   void AddWideJobs();
   JobModel& AddPlainJob(const std::string& id, uint32_t tasks, double run);
   void NoteAnswered(JobModel& job);
@@ -365,18 +365,18 @@
   // At least half of the jobs of each class and of each team are done, and the
   // largest job of each class has started in time.
   void CheckServed();
-  void SendOddRequest();
-  void AskAboutNobodysJob();
-  bool Disturbed(const FaultWindow& window);
+  void SendInvalidRequest();
+  void PollUnknownJob();
+  bool DrawFault(const FaultWindow& window);
   void KeepHeartbeat(const std::string& machine, const MakeCommand& heartbeat);
   void AwaitNextOwner(const std::string& machine, const MakeCommand& heartbeat,
                       uint32_t partition, uint64_t mod_revision);
   uint64_t OwnerModRevision(uint32_t partition) const;
-  void AskEverybody(const std::string& id);
+  void QueryAllNodes(const std::string& id);
   void PollOnce(size_t index, const std::string& id);
   void SubmitOnce(size_t index, const std::string& id);
   void Violation(const std::string& rule, const std::string& what);
-  void Note(std::string what);
+  void AppendLog(std::string what);
 
   SimulationConfig config_;
   std::mt19937_64 random_;
@@ -426,8 +426,8 @@
   std::map<std::string, SteadyTime> cut_until_;  // machines
   std::map<std::string, SteadyTime> deleted_;    // machines and their deletion
   // Job, task and attempt of every assignment seen so far.
-  std::set<std::tuple<std::string, uint32_t, uint32_t>> bound_;
-  SteadyTime calm_since_{};  // when the last fault ends
+  std::set<std::tuple<std::string, uint32_t, uint32_t>> seen_assignments_;
+  SteadyTime faults_over_at_{};  // when the last fault ends
   int inbound_cut_left_ = 0;
   int lost_on_isolated_ = 0;
   bool isolated_said_unhealthy_ = false;
@@ -436,11 +436,11 @@
   std::map<std::string, std::unique_ptr<SimulatedMachine>> machines_;
   std::map<std::string, std::unique_ptr<JobModel>> jobs_;
   // The machines that a task occupies.
-  struct OnMachines {
+  struct TaskPlacement {
     JobModel* job = nullptr;
     std::set<std::string> machines;
   };
-  std::map<std::string, OnMachines> task_on_;
+  std::map<std::string, TaskPlacement> task_placements_;
   std::vector<std::string> violations_;
   std::vector<std::string> log_;
   int starts_ = 0;
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -136,14 +136,14 @@
   }
 }
 
-// Runs the random schedule of a seed, with `tell` printing its log. Returns
+// Runs the random schedule of a seed, with `verbose` printing its log. Returns
 // true if there was no finding.
-bool PlayRandom(uint64_t seed, bool tell) {
+bool RunRandomSchedule(uint64_t seed, bool verbose) {
   SimulationConfig config = RandomConfig(seed);
-  config.log_debug = tell;
+  config.log_debug = verbose;
   ClusterSimulation simulation(config);
   simulation.Run();
-  if (tell) {
+  if (verbose) {
     for (const std::string& line : simulation.log()) std::puts(line.c_str());
   }
   bool lost = simulation.finished() != simulation.accepted();
@@ -176,7 +176,7 @@
   }
   int bad = 0;
   for (uint64_t seed = first; seed < first + count; ++seed) {
-    if (!pitchfall::sim::PlayRandom(seed, count == 1)) ++bad;
+    if (!pitchfall::sim::RunRandomSchedule(seed, count == 1)) ++bad;
   }
   std::printf("%d of %" PRIu64 " schedules with findings\n", bad, count);
   return bad == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
