--- a/tests/local_cluster/main.cc
+++ b/tests/local_cluster/main.cc
@@ -79,26 +79,31 @@
 // Parses the command line and runs the given subcommand. Returns the exit
 // status.
 int Run(int argc, char** argv) {
-  CLI::App app{"A platform of fakes for pitchfall, on loopback."};
+  CLI::App app{
+      "Serves a fake platform for pitchfall on loopback, or sends it "
+      "requests."};
   app.require_subcommand(1);
   std::string folder, address, id;
   double task_s = 2;
   double cpus = 1;
   unsigned tasks = 4;
   auto* serve = app.add_subcommand("serve", "run the platform");
-  serve->add_option("folder", folder, "where settings files are written")
+  serve->add_option("folder", folder, "folder for the deployment files")
       ->required();
   serve->add_option("--task-seconds", task_s, "how long each task runs");
   auto user = [&](const char* name, const char* what) {
     auto* command = app.add_subcommand(name, what);
-    command->add_option("address", address, "a controller's front")->required();
+    command
+        ->add_option("address", address,
+                     "a controller's address for users (host:port)")
+        ->required();
     command->add_option("id", id, "a job's id, such as run-000001")->required();
     return command;
   };
   auto* submit = user("submit", "submit a job");
   submit->add_option("--tasks", tasks, "number of tasks");
   submit->add_option("--cpus", cpus, "processors for each task");
-  auto* poll = user("poll", "ask how a job is doing");
+  auto* poll = user("poll", "show the status of a job");
   auto* cancel = user("cancel", "cancel a job");
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
--- a/tests/sim/cluster_simulation.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -810,18 +810,19 @@
   using Status = JobAnswer::Status;
   if (job.told_done && asked >= *job.told_done &&
       answer.status != Status::kDone) {
-    Violation("went_back", id + " was done");
+    Violation("went_back", id + " was reported as done before");
   }
   if (job.cancelled && asked >= *job.cancelled &&
       answer.status != Status::kCancelled) {
-    Violation("went_back", id + " was cancelled");
+    Violation("went_back", id + " was reported as cancelled before");
   }
   bool news = !job.accepted ||
               (answer.status == Status::kCancelled && !job.cancelled) ||
               (answer.status == Status::kDone && !job.told_done);
   if (news && now_ < watch_closely_until_) QueryAllNodes(id);
   if (answer.status == Status::kCancelled) {
-    if (!job.asked_cancel) Violation("went_back", id + " cancelled by nobody");
+    if (!job.asked_cancel)
+      Violation("went_back", id + " is cancelled without a request");
     if (!job.cancelled) job.cancelled = now_;
   }
   if (answer.status == Status::kDone) {
@@ -960,7 +961,7 @@
       }
       break;
     default:
-      AppendLog("the cloud is away");
+      AppendLog("the cloud is unavailable");
       cloud_.outage = true;
       After(RandomDuration(1, 20), [this] { cloud_.outage = false; });
       break;
@@ -975,12 +976,12 @@
 }
 
 void ClusterSimulation::StopState(Duration how_long) {
-  AppendLog("the state service is away");
+  AppendLog("the state service is unavailable");
   state_outage_ = true;
   After(how_long, [this] {
     state_outage_ = false;
     state_.RenewAll(now_);
-    AppendLog("the state service is back");
+    AppendLog("the state service is available again");
   });
 }
 
@@ -996,7 +997,7 @@
 }
 
 void ClusterSimulation::LowerStateLimits() {
-  AppendLog("the state service has its announced limits");
+  AppendLog("the announced limits of the state service are in force");
   state_.set_limits({config_.next_txn_ops, config_.next_value_kb, 10000});
 }
 
@@ -1039,19 +1040,19 @@
 }
 
 void ClusterSimulation::DelayCommands(double share, double seconds) {
-  AppendLog("direct commands are held up");
+  AppendLog("direct commands are delayed");
   late_commands_ = {share, now_ + Seconds(seconds)};
 }
 
 void ClusterSimulation::KeepHeartbeatsForNextOwner(double share, double seconds,
                                                    double delay_s) {
-  AppendLog("copies of reports are kept for the next owner");
+  AppendLog("copies of heartbeats are delayed until the next owner");
   kept_heartbeats_ = {share, now_ + Seconds(seconds)};
   kept_heartbeats_delay_ = Seconds(delay_s);
 }
 
 void ClusterSimulation::WatchAnswersClosely(double seconds) {
-  AppendLog("users ask everybody after each answer that is news");
+  AppendLog("users query all nodes after each change");
   watch_closely_until_ = now_ + Seconds(seconds);
 }
 
@@ -1135,7 +1136,7 @@
 }
 
 void ClusterSimulation::FreezeNode(size_t index, double seconds) {
-  AppendLog(fmt::format("node {} stands still", index));
+  AppendLog(fmt::format("node {} is paused", index));
   nodes_[index]->frozen_until = now_ + Seconds(seconds);
 }
 
@@ -1145,7 +1146,7 @@
 }
 
 void ClusterSimulation::StopCloud(double seconds) {
-  AppendLog("the cloud is away");
+  AppendLog("the cloud is unavailable");
   cloud_.outage = true;
   After(Seconds(seconds), [this] { cloud_.outage = false; });
 }
@@ -1175,7 +1176,7 @@
 }
 
 void ClusterSimulation::CutInbound(double share, double seconds) {
-  AppendLog("machines hear nothing");
+  AppendLog("machines receive nothing");
   for (const std::string& name : PickMachines(share)) {
     inbound_cut_until_[name] = now_ + Seconds(seconds);
   }
@@ -1198,7 +1199,7 @@
 }
 
 void ClusterSimulation::CancelNow(int count, double hang_s) {
-  AppendLog("users call jobs off");
+  AppendLog("users cancel running jobs");
   std::set<std::string> chosen;
   for (const auto& [task, on] : task_placements_) {
     if (on.machines.empty() || on.job->asked_cancel || on.job->final()) {
@@ -1245,7 +1246,7 @@
 }
 
 void ClusterSimulation::PollStorm(double factor, double seconds) {
-  AppendLog("users ask many times as often");
+  AppendLog("users poll many times as often");
   storm_factor_ = factor;
   storm_until_ = now_ + Seconds(seconds);
   PollUnknownJob();
@@ -1325,7 +1326,8 @@
       node.slow_until = now_ + RandomDuration(1, 20);
       break;
     case 3:
-      AppendLog(fmt::format("node {} keeps only its workers", index));
+      AppendLog(
+          fmt::format("node {} loses the state service and its peers", index));
       node.hold = Chance() < 0.5;
       node.state_cut_until = now_ + RandomDuration(1, 20);
       node.peer_cut_until = node.state_cut_until;
@@ -1355,7 +1357,7 @@
 void ClusterSimulation::InjectFleetFault(size_t index) {
   switch (RandomIndex(5)) {
     case 0:
-      AppendLog(fmt::format("node {} stands still", index));
+      AppendLog(fmt::format("node {} is paused", index));
       nodes_[index]->frozen_until = now_ + RandomDuration(5, 25);
       break;
     case 1:
@@ -1382,7 +1384,7 @@
       }
       break;
     default:
-      AppendLog("all restart while the state service is away");
+      AppendLog("all nodes restart while the state service is unavailable");
       StopState(RandomDuration(3, 12));
       CrashAllNodes();
       break;
@@ -1452,7 +1454,7 @@
   for (const auto& [name, simulated] : machines_) {
     if (static_cast<int>(inbound_cut_.size()) >= config_.inbound_cut_machines)
       break;
-    AppendLog(name + " hears nothing any more");
+    AppendLog(name + " receives nothing from now on");
     inbound_cut_.insert(name);
   }
   // Several leases later they must have been deleted.
@@ -1466,7 +1468,7 @@
 void ClusterSimulation::IsolateNode() {
   constexpr size_t kIsolated = 1;
   Node& node = *nodes_[kIsolated];
-  AppendLog("node 1 keeps only its workers and users");
+  AppendLog("node 1 loses the state service and its peers");
   node.state_cut_until = now_ + Seconds(30);
   node.peer_cut_until = node.state_cut_until;
   // After two failed health checks the load balancer sends no users there.
@@ -1674,7 +1676,7 @@
     if (now_ < job->last_progress) continue;
     if (!CouldStart(*job)) job->last_progress = now_;
     if (now_ - job->last_progress <= kMaxWaitBesideCapacity) continue;
-    Violation("left_waiting", id + " beside a machine with room");
+    Violation("left_waiting", id + " waits while a machine has capacity");
     job->last_progress = now_ + Seconds(1000);  // reports it once
   }
   After(Seconds(1), [this] { CheckWaiting(); });
@@ -1710,7 +1712,7 @@
     SteadyTime due =
         std::max(*job->accepted, faults_over_at_) + kMaxStartDelayOfLargest;
     if (!job->first_start || *job->first_start > due) {
-      Violation("unserved", job->spec.id + " has not begun");
+      Violation("unserved", job->spec.id + " has not started in time");
     }
   }
 }
--- a/tests/sim/current_controller.cc
+++ b/tests/sim/current_controller.cc
@@ -37,7 +37,7 @@
     } else {
       auto heartbeat =
           wire::DecodePeerHeartbeat(std::get<EncodedPeerMessage>(input).bytes);
-      if (!heartbeat) throw std::runtime_error("a message that cannot be read");
+      if (!heartbeat) throw std::runtime_error("cannot decode a peer message");
       batch.push_back(std::move(*heartbeat));
     }
     std::vector<ControllerOutput> outputs;
--- a/tests/sim/effect_digest.cc
+++ b/tests/sim/effect_digest.cc
@@ -67,7 +67,7 @@
     AddNumber(worker->timeout.count());
     AddHttp(wire::EncodeWorker(worker->request));
   } else {
-    throw std::logic_error("an effect that has to come encoded");
+    throw std::logic_error("state calls and peer heartbeats must be encoded");
   }
 }
 
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -123,9 +123,11 @@
 }
 old::Command ToOld(const Tick&) { return old::Tick{}; }
 // These two come encoded, so they never get here.
-old::Command ToOld(const StateReply&) { throw std::logic_error("not encoded"); }
+old::Command ToOld(const StateReply&) {
+  throw std::logic_error("state replies and peer heartbeats must be encoded");
+}
 old::Command ToOld(const PeerHeartbeat&) {
-  throw std::logic_error("not encoded");
+  throw std::logic_error("state replies and peer heartbeats must be encoded");
 }
 
 WorkerCommand FromOld(const old::Order& order) {
@@ -198,14 +200,15 @@
       for (const old::Change& change : decoded.changes) {
         // Fence keys hold no record that could be decoded.
         if (change.unreadable && !change.key.starts_with("pf/fences/")) {
-          throw std::runtime_error("production cannot read " + change.key);
+          throw std::runtime_error("production cannot decode " + change.key);
         }
       }
       batch.push_back(std::move(decoded));
     } else {
       auto hello =
           old::wire::DecodeHello(std::get<EncodedPeerMessage>(input).bytes);
-      if (!hello) throw std::runtime_error("production cannot read a message");
+      if (!hello)
+        throw std::runtime_error("production cannot decode a peer message");
       batch.push_back(std::move(*hello));
     }
     old::Now old_now{ToOld(now.steady),
