--- a/tests/sim/cluster_simulation.h
+++ b/tests/sim/cluster_simulation.h
@@ -82,8 +82,8 @@
   // Adds one large job of low priority at 10 s, and small ones of high priority
   // every 5 s that keep the team at its limit.
   bool crowded = false;
-  // Number of jobs with 500 tasks each, submitted at 1 s, which all run for 60
-  // s and so end at about the same time.
+  // Number of jobs with 500 tasks each, submitted at 1 s. All tasks run for
+  // 60 s and so end at about the same time.
   int wide_jobs = 0;
   // Interval at which a machine advances its tasks; large fleets use a longer
   // one.
@@ -97,7 +97,8 @@
   uint32_t next_txn_ops = 0;
   // Controllers run the version in production until they are upgraded.
   bool begins_with_production = false;
-  double state_writes = 60;  // puts and deletes that the service takes a second
+  // Puts and deletes per second that the state service accepts.
+  double state_writes = 60;
   // Every rented machine is up after 100 ms, so that overlapping failures meet
   // the same machines whatever the seed. Otherwise booting takes 1 to 4 s, and
   // 5% of the machines never come up.
@@ -119,6 +120,9 @@
   SteadyTime until{};
 };
 
+// Construct it, arrange the schedule with the functions below, call Run() and
+// examine the results. Indexes denote controllers; shares are between 0 and 1;
+// `hold` delays messages until the end of a cut instead of losing them.
 class ClusterSimulation {
  public:
   explicit ClusterSimulation(SimulationConfig config);
