--- a/tests/sim/cluster_simulation.cc
+++ b/tests/sim/cluster_simulation.cc
@@ -112,14 +112,13 @@
   JobSpec spec;
   fakes::TaskInfo info;
   bool submitted = false;
-  // Times at which its user was told; none before.
-  std::optional<SteadyTime> accepted;
+  std::optional<SteadyTime> accepted;  // when a user was told
   bool asked_cancel = false;
   bool asked_by_name = false;             // by CancelAtEnd or CancelNow
-  std::optional<SteadyTime> first_start;  // first start of a task
+  std::optional<SteadyTime> first_start;  // of a task
   int starts = 0;
   SteadyTime last_progress{};  // last time that a task started or none could
-  std::optional<SteadyTime> cancelled;
+  std::optional<SteadyTime> cancelled;  // when a user was told
   std::optional<SteadyTime> told_done;
   std::optional<SteadyTime> answered;  // the last successful poll
   bool polls = false;                  // its user polls it
