--- a/tests/mixed_versions_test.cc
+++ b/tests/mixed_versions_test.cc
@@ -1,6 +1,6 @@
-// The version in production and the present one run side by side and work on
-// each other's data (see tests/production.cmake), while controllers are
-// upgraded one after the other.
+// Tests of rolling upgrades: controllers of the version in production and of
+// the present one run side by side on the same data (see
+// tests/production.cmake), while they are upgraded one after the other.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,9 +20,10 @@
   config.next_txn_ops = 4;
 }
 
-// In an order that follows from the seed.
-void Upgrade(ClusterSimulation& simulation, uint64_t seed, double from,
-             double every) {
+// Upgrades the controllers `every` seconds from second `from` on, in an order
+// that the seed determines.
+void ScheduleUpgrades(ClusterSimulation& simulation, uint64_t seed, double from,
+                      double every) {
   std::vector<size_t> order{0, 1, 2};
   std::mt19937_64 random(seed);
   std::shuffle(order.begin(), order.end(), random);
@@ -35,9 +36,9 @@
   }
 }
 
-TEST(MixedVersions, UpgradeUnderLoad) {
+TEST(MixedVersions, JobsFinishDuringUpgradesUnderLoad) {
   Play(MixedConfig, [](ClusterSimulation& simulation) {
-    Upgrade(simulation, 1, 20, 15);
+    ScheduleUpgrades(simulation, 1, 20, 15);
     simulation.AddServiceAt(70, kService, 4, 2);
     simulation.At(75, [&] { simulation.LowerStateLimits(); });
     simulation.At(130, [&] {
@@ -48,8 +49,8 @@
 }
 
 // A standing job is refused until the last controller of the old version is
-// gone, be it for a long time.
-TEST(MixedVersions, StandingJobsWaitForTheLastUpgrade) {
+// gone, also if it only is away for a long time.
+TEST(MixedVersions, StandingJobsAreRefusedUntilTheLastUpgrade) {
   Play(MixedConfig, [](ClusterSimulation& simulation) {
     simulation.At(20, [&] { simulation.UpgradeNode(0, Seconds(1)); });
     simulation.At(25, [&] { simulation.UpgradeNode(1, Seconds(1)); });
@@ -66,9 +67,10 @@
   });
 }
 
-// One that dies before its turn comes back old, also after others have been
-// upgraded and have accepted standing jobs in its absence.
-TEST(MixedVersions, AnOldControllerComesBackAmongNewOnes) {
+// A controller that crashes before its upgrade comes back with the old version,
+// after the others have been upgraded and have accepted standing jobs in its
+// absence.
+TEST(MixedVersions, OldControllerRestartsAmongUpgradedOnes) {
   Play(MixedConfig, [](ClusterSimulation& simulation) {
     simulation.At(20, [&] { simulation.UpgradeNode(0, Seconds(0.2)); });
     simulation.At(25, [&] { simulation.UpgradeNode(1, Seconds(0.2)); });
@@ -77,7 +79,7 @@
     for (int second = 75; second < 85; second += 3) {
       simulation.At(second, [&] { simulation.CrashNode(2, Seconds(0.2)); });
     }
-    // Then the new ones are away, and the old one has all partitions.
+    // Then the upgraded ones are away, and the old one owns all partitions.
     simulation.At(88, [&] {
       simulation.CrashNode(0, Seconds(12));
       simulation.CrashNode(1, Seconds(12));
@@ -91,10 +93,10 @@
   });
 }
 
-// Upgrades in every order amid random faults: crashes, cuts, outages of the
-// state service, late messages, cancellations; the limits are lowered once all
-// have been upgraded.
-TEST(MixedVersions, KeepTheRulesInRandomSchedules) {
+// Upgrades in various orders among random faults: crashes, cuts, outages of the
+// state service, late messages and cancellations. The limits are lowered once
+// all controllers have been upgraded.
+TEST(MixedVersions, RandomSchedulesBreakNoRule) {
   for (uint64_t seed = 1; seed <= 24; ++seed) {
     SCOPED_TRACE(seed);
     SimulationConfig config;
@@ -104,7 +106,8 @@
     config.fleet_faults = seed % 3 == 0;
     MixedConfig(config);
     ClusterSimulation simulation(config);
-    Upgrade(simulation, seed, 15, 2 + static_cast<double>(seed % 5) * 4);
+    ScheduleUpgrades(simulation, seed, 15,
+                     2 + static_cast<double>(seed % 5) * 4);
     simulation.AddServiceAt(75, kService, 4, 1);
     simulation.At(80, [&] { simulation.LowerStateLimits(); });
     simulation.CancelAt(240, kService);
@@ -113,8 +116,8 @@
   }
 }
 
-// Large records of the version in production outlive the limits under which
-// they were stored: chunks with many tasks on machines, and full segments.
+// Records of the version in production may exceed the lowered limits: chunks
+// with many tasks on machines, and full segments.
 TEST(MixedVersions, RecordsLargerThanTheNewLimitsAreReplaced) {
   auto prepare = [](SimulationConfig& config) {
     MixedConfig(config);
@@ -127,7 +130,7 @@
     config.end = Seconds(400);
   };
   Play(prepare, [](ClusterSimulation& simulation) {
-    Upgrade(simulation, 3, 30, 3);
+    ScheduleUpgrades(simulation, 3, 30, 3);
     simulation.At(42, [&] { simulation.LowerStateLimits(); });
     simulation.At(
         55, [&] { simulation.CrashNode(simulation.OwnerOf(0), Seconds(2)); });
--- a/tests/soak.cc
+++ b/tests/soak.cc
@@ -1,9 +1,11 @@
-// Plays random schedules by hand; the tests play a fixed few.
+// Runs the cluster simulation with random schedules, for use by hand; the tests
+// run a fixed few.
 //
-//   pitchfall_soak FIRST COUNT            reports schedules with findings; with
-//                                         a COUNT of 1 it prints the story
-//   pitchfall_soak --digest FIRST COUNT   prints a hash of all that the
-//                                         controllers did, a line a schedule;
+//   pitchfall_soak FIRST COUNT            runs COUNT seeds from FIRST on, and
+//                                         reports those with findings; with a
+//                                         COUNT of 1 it prints the whole log
+//   pitchfall_soak --digest FIRST COUNT   prints a hash of all effects of the
+//                                         controllers, one line per schedule;
 //                                         tests/digests.txt holds those of the
 //                                         code before its refactoring
 #include <cinttypes>
@@ -26,6 +28,7 @@
 constexpr uint64_t kDefaultCount = 100;
 constexpr uint64_t kKindsBesideRandom = 3;
 
+// A simulation and what is arranged before it runs; `prepare` may be empty.
 struct Schedule {
   const char* kind = "";
   SimulationConfig config;
@@ -103,7 +106,7 @@
   return {"large", config, {}};
 }
 
-// Each seed has a random schedule and one of the other kinds.
+// Returns the schedules of a seed: a random one and one of the other kinds.
 std::vector<Schedule> SchedulesOf(uint64_t seed) {
   std::vector<Schedule> schedules{{"random", RandomConfig(seed), {}}};
   switch (seed % kKindsBesideRandom) {
@@ -133,13 +136,14 @@
   }
 }
 
-// Whether the schedule had no finding.
-bool PlayRandom(uint64_t seed, bool tell) {
+// Runs the random schedule of a seed, with `verbose` printing its log. Returns
+// true if there was no finding.
+bool RunRandomSchedule(uint64_t seed, bool verbose) {
   SimulationConfig config = RandomConfig(seed);
-  config.log_debug = tell;
+  config.log_debug = verbose;
   ClusterSimulation simulation(config);
   simulation.Run();
-  if (tell) {
+  if (verbose) {
     for (const std::string& line : simulation.log()) std::puts(line.c_str());
   }
   bool lost = simulation.finished() != simulation.accepted();
@@ -172,7 +176,7 @@
   }
   int bad = 0;
   for (uint64_t seed = first; seed < first + count; ++seed) {
-    if (!pitchfall::sim::PlayRandom(seed, count == 1)) ++bad;
+    if (!pitchfall::sim::RunRandomSchedule(seed, count == 1)) ++bad;
   }
   std::printf("%d of %" PRIu64 " schedules with findings\n", bad, count);
   return bad == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
