--- a/tests/local_cluster/main.cc
+++ b/tests/local_cluster/main.cc
@@ -1,5 +1,6 @@
-// pitchfall_local_cluster: a platform of fakes on loopback, and a user's side
-// to it. For trying things out by hand; see README.md.
+// pitchfall_local_cluster serves a fake platform on loopback, and sends
+// requests to its controllers as a user would, for trying out pitchfall by
+// hand; see README.md.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -28,11 +29,11 @@
                            fmt::format("127.0.0.1:{}", FreePort()),
                            fmt::format("127.0.0.1:{}", FreePort())});
   }
-  LocalCluster platform(base.get(), controllers, Seconds(task_s));
+  LocalCluster cluster(base.get(), controllers, Seconds(task_s));
   std::filesystem::create_directories(folder);
   for (size_t i = 0; i < controllers.size(); ++i) {
     std::string file = fmt::format("{}/{}.toml", folder, controllers[i].label);
-    std::ofstream(file) << platform.SettingsFor(i);
+    std::ofstream(file) << cluster.SettingsFor(i);
     std::cout << "pitchfall --config " << file
               << "    # users: " << controllers[i].front << "\n";
   }
@@ -41,7 +42,7 @@
   return EXIT_SUCCESS;
 }
 
-int Ask(const std::string& address, wire::HttpRequest request) {
+int SendRequest(const std::string& address, wire::HttpRequest request) {
   io::EventBase base(event_base_new());
   io::HttpClient client(base.get(), io::ParseAddress(address), 1);
   int result = EXIT_FAILURE;
@@ -75,28 +76,34 @@
   return {true, "/api/jobs", out.Take()};
 }
 
-// Reads the command line and does what it says; returns the exit status.
+// Parses the command line and runs the given subcommand. Returns the exit
+// status.
 int Run(int argc, char** argv) {
-  CLI::App app{"A platform of fakes for pitchfall, on loopback."};
+  CLI::App app{
+      "Serves a fake platform for pitchfall on loopback, or sends it "
+      "requests."};
   app.require_subcommand(1);
   std::string folder, address, id;
   double task_s = 2;
   double cpus = 1;
   unsigned tasks = 4;
   auto* serve = app.add_subcommand("serve", "run the platform");
-  serve->add_option("folder", folder, "where settings files are written")
+  serve->add_option("folder", folder, "folder for the deployment files")
       ->required();
   serve->add_option("--task-seconds", task_s, "how long each task runs");
   auto user = [&](const char* name, const char* what) {
     auto* command = app.add_subcommand(name, what);
-    command->add_option("address", address, "a controller's front")->required();
+    command
+        ->add_option("address", address,
+                     "a controller's address for users (host:port)")
+        ->required();
     command->add_option("id", id, "a job's id, such as run-000001")->required();
     return command;
   };
   auto* submit = user("submit", "submit a job");
   submit->add_option("--tasks", tasks, "number of tasks");
   submit->add_option("--cpus", cpus, "processors for each task");
-  auto* poll = user("poll", "ask how a job is doing");
+  auto* poll = user("poll", "show the status of a job");
   auto* cancel = user("cancel", "cancel a job");
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
@@ -105,7 +112,7 @@
   if (*submit) request = Submission(id, tasks, cpus);
   if (*poll) request.path = "/api/jobs/" + id;
   if (*cancel) request = {true, "/api/jobs/" + id + "/cancel", ""};
-  return Ask(address, std::move(request));
+  return SendRequest(address, std::move(request));
 }
 
 }  // namespace
--- a/tests/sim/current_controller.cc
+++ b/tests/sim/current_controller.cc
@@ -1,4 +1,5 @@
-// The present version of the controller, and the decoding of transactions.
+// The adapter for the present version of the controller, and the decoding of
+// transactions.
 #include <map>
 #include <stdexcept>
 #include <utility>
@@ -12,6 +13,7 @@
 namespace pitchfall::sim {
 namespace {
 
+// Limits on decoded transactions.
 constexpr size_t kMaxItems = 200000;
 constexpr size_t kMaxDepth = 16;
 
@@ -35,7 +37,7 @@
     } else {
       auto heartbeat =
           wire::DecodePeerHeartbeat(std::get<EncodedPeerMessage>(input).bytes);
-      if (!heartbeat) throw std::runtime_error("a message that cannot be read");
+      if (!heartbeat) throw std::runtime_error("cannot decode a peer message");
       batch.push_back(std::move(*heartbeat));
     }
     std::vector<ControllerOutput> outputs;
--- a/tests/sim/production_controller.cc
+++ b/tests/sim/production_controller.cc
@@ -1,6 +1,6 @@
-// The version in production, see tests/production.cmake. Its commands and
-// effects are translated field by field; what it stores and tells other
-// controllers stays in the form that it has encoded itself.
+// The adapter for the version in production, see tests/production.cmake.
+// Commands and effects are translated field by field; records and messages to
+// other controllers keep the form in which that version has encoded them.
 #include <map>
 #include <stdexcept>
 #include <utility>
@@ -122,10 +122,12 @@
   return to;
 }
 old::Command ToOld(const Tick&) { return old::Tick{}; }
-// These two come encoded.
-old::Command ToOld(const StateReply&) { throw std::logic_error("not encoded"); }
+// These two come encoded, so they never get here.
+old::Command ToOld(const StateReply&) {
+  throw std::logic_error("state replies and peer heartbeats must be encoded");
+}
 old::Command ToOld(const PeerHeartbeat&) {
-  throw std::logic_error("not encoded");
+  throw std::logic_error("state replies and peer heartbeats must be encoded");
 }
 
 WorkerCommand FromOld(const old::Order& order) {
@@ -196,16 +198,17 @@
           old::wire::DecodeState(request.mapped(), reply->status, reply->body);
       decoded.call = reply->call;
       for (const old::Change& change : decoded.changes) {
-        // Fences are records of no kind.
+        // Fence keys hold no record that could be decoded.
         if (change.unreadable && !change.key.starts_with("pf/fences/")) {
-          throw std::runtime_error("production cannot read " + change.key);
+          throw std::runtime_error("production cannot decode " + change.key);
         }
       }
       batch.push_back(std::move(decoded));
     } else {
       auto hello =
           old::wire::DecodeHello(std::get<EncodedPeerMessage>(input).bytes);
-      if (!hello) throw std::runtime_error("production cannot read a message");
+      if (!hello)
+        throw std::runtime_error("production cannot decode a peer message");
       batch.push_back(std::move(*hello));
     }
     old::Now old_now{ToOld(now.steady),
@@ -220,7 +223,8 @@
   }
 
  private:
-  // It knows nothing of announced limits.
+  // Announced limits are left out; the version in production does not know
+  // them.
   static old::Deployment MakeDeployment(const Deployment& from) {
     old::Deployment to;
     to.label = from.label;
