--- a/src/core/partition/failure_tracker.h
+++ b/src/core/partition/failure_tracker.h
@@ -1,9 +1,9 @@
 // Tells faulty jobs from faulty machines by the jobs and machines of tasks that
 // end in errors.
 //
-// A faulty job fails on every machine; on a faulty machine every job fails. A
-// single error shows neither. The counts are kept in memory only: a new owner
-// of the partition starts without any.
+// A job that was submitted with a mistake fails on every machine; on a faulty
+// machine every job fails. A single error shows neither. The counts are kept in
+// memory only: a new owner of the partition starts without any.
 #ifndef PITCHFALL_CORE_PARTITION_FAILURE_TRACKER_H_
 #define PITCHFALL_CORE_PARTITION_FAILURE_TRACKER_H_
 
