--- a/tests/digests.sh
+++ b/tests/digests.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Compares what the controllers do in fixed schedules with tests/digests.txt, or
-# with --print prints it. Usage: tests/digests.sh BUILD_DIR [--print]
+# Computes digests of what the controllers do in fixed schedules and compares them
+# with tests/digests.txt; with --print, prints them instead.
+# Usage: tests/digests.sh BUILD_DIR [--print]
 set -euo pipefail
 soak=$1/tests/pitchfall_soak
 here=$(dirname "$0")
 digests() {
-  # Beside the first sixty, four schedules in which pitchfall_soak finds faults.
+  # Seeds 1 to 60, and four in whose schedules pitchfall_soak finds faults.
   { seq 1 60; printf '%s\n' 9044 9164 9296 9404; } |
     xargs -P"$(nproc)" -I{} "$soak" --digest {} 1 | sort -k1,1n -k2,2
 }
--- a/tests/production.cmake
+++ b/tests/production.cmake
@@ -1,8 +1,8 @@
-# Builds the version of pitchfall that is recorded as `production` in
-# deploy/service.toml, for tests in which it runs beside the present one. Its
-# sources come from the repository's history. So that both fit into one program
-# its namespace, macros, include paths and schema id are renamed; none of these
-# is part of what it stores or sends.
+# Builds the version of pitchfall that deploy/service.toml records as `production`,
+# for tests in which it runs beside the current version. Its sources are taken from
+# the repository's history. Its namespace, macros, include paths and schema id are
+# renamed so that both versions can be linked into one program; none of these is
+# part of the data that it stores or sends.
 file(STRINGS ${PROJECT_SOURCE_DIR}/deploy/service.toml PRODUCTION_LINE
      REGEX "^production = \"[0-9a-f]+\"$")
 string(REGEX REPLACE "^production = \"([0-9a-f]+)\"$" "\\1" PRODUCTION_COMMIT
